--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,6 +67,7 @@
 mod settings;
 mod settings_document;
 pub mod statistics;
+mod units;
 
 pub use engine::DecisionEngine;
 pub use events::*;
@@ -75,3 +76,4 @@
     ClassDocument, DiscoveryMode, IdempotencyDocument, LimitsDocument, PlanDocument, RulesDocument,
     SettingsDocument,
 };
+pub use units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
