--- a/src/bin/marlshelf-gateway/main.rs
+++ b/src/bin/marlshelf-gateway/main.rs
@@ -3,7 +3,7 @@
 //! The exit code is 0 after a graceful shutdown, and 1 if the gateway could not start.
 
 use marlshelf::gateway::StartupError;
-use marlshelf::gateway::log::{self, Event};
+use marlshelf::gateway::log::{self, LogEvent};
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
@@ -11,7 +11,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::event(&Event::StartupFailed { error: &error });
+            log::event(&LogEvent::StartupFailed { error: &error });
             ExitCode::FAILURE
         }
     }
--- a/src/gateway/bind.rs
+++ b/src/gateway/bind.rs
@@ -1,6 +1,6 @@
 //! Binds the addresses of the gateway, which its previous incarnation may still use.
 
-use crate::gateway::log::{self, Event};
+use crate::gateway::log::{self, LogEvent};
 use std::fmt;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
         }
         if !wait_logged {
             wait_logged = true;
-            log::event(&Event::AddressInUse {
+            log::event(&LogEvent::AddressInUse {
                 purpose: &purpose,
                 address,
                 timeout: BIND_TIMEOUT,
--- a/src/gateway/clients/listener.rs
+++ b/src/gateway/clients/listener.rs
@@ -4,7 +4,7 @@
 use super::schema::RequestSchema;
 use super::serve::ConnectionTask;
 use super::{ClientEvent, ClientEventHandler};
-use crate::gateway::log::{self, Event};
+use crate::gateway::log::{self, LogEvent};
 use std::io::ErrorKind;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
                 Err(error) => {
                     // One line for each series of errors.
                     if !is_failing {
-                        log::event(&Event::AcceptFailed { error: &error });
+                        log::event(&LogEvent::AcceptFailed { error: &error });
                     }
                     is_failing = true;
                     // Most likely the process is out of descriptors: closing a connection frees one.
--- a/src/gateway/discovery/watcher.rs
+++ b/src/gateway/discovery/watcher.rs
@@ -2,7 +2,7 @@
 
 use super::transport::{HttpConnection, read_snapshot};
 use super::{CallStep, Connect, DiscoveryError, EndpointUpdate, Frame, FrameDecoder, PollSchedule};
-use crate::gateway::log::{self, Event};
+use crate::gateway::log::{self, LogEvent};
 use http_body_util::BodyExt;
 use hyper::body::Bytes;
 use std::convert::Infallible;
@@ -93,7 +93,7 @@
             // One line for each outage, not for each call that fails in it.
             if !failure_logged {
                 failure_logged = true;
-                log::event(&Event::DiscoveryFailed {
+                log::event(&LogEvent::DiscoveryFailed {
                     address: self.address,
                     error: &error,
                 });
--- a/src/gateway/event_loop/endpoint_events.rs
+++ b/src/gateway/event_loop/endpoint_events.rs
@@ -7,7 +7,7 @@
 };
 use crate::gateway::event_loop::Gateway;
 use crate::gateway::event_loop::attempts::ResponseReports;
-use crate::gateway::log::{self, Event as LogEvent};
+use crate::gateway::log::{self, LogEvent};
 use crate::{
     AttemptResult, Endpoint, EndpointListKind, EndpointName, EndpointState, Event, SettingsDocument,
 };
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -244,7 +244,7 @@
     /// a failure.
     fn answer_deadline_passed(&mut self, id: RequestId) {
         if self.now() < self.shutdown_deadline_ms {
-            log::event(&log::Event::RequestOverdue);
+            log::event(&log::LogEvent::RequestOverdue);
         }
         let client = self
             .requests
--- a/src/gateway/log.rs
+++ b/src/gateway/log.rs
@@ -14,7 +14,7 @@
 const PROGRAM: &str = "marlshelf-gateway";
 
 /// Something that the log records. Errors are known here only by their texts, so that every module may log.
-pub enum Event<'a> {
+pub enum LogEvent<'a> {
     /// The process cannot start, and ends.
     StartupFailed {
         /// What was wrong.
@@ -82,55 +82,55 @@
 }
 
 /// Writes one line about the event to standard error.
-pub fn event(event: &Event<'_>) {
+pub fn event(event: &LogEvent<'_>) {
     // Formatted first, so that the line is one write and lines of several processes do not mix.
     let line = format!("{event}\n");
     eprint!("{line}");
 }
 
-impl Event<'_> {
+impl LogEvent<'_> {
     /// The constant name of the event.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
-            Event::StartupFailed { .. } => "startup_failed",
-            Event::AddressInUse { .. } => "address_in_use",
-            Event::Serving { .. } => "serving",
-            Event::ShutdownStarted { .. } => "shutdown_started",
-            Event::ListenerClosing { .. } => "listener_closing",
-            Event::ConfigurationReloaded { .. } => "configuration_reloaded",
-            Event::ConfigurationReloadFailed { .. } => "configuration_reload_failed",
-            Event::DiscoveryFailed { .. } => "discovery_failed",
-            Event::AcceptFailed { .. } => "accept_failed",
-            Event::MalformedResponses { .. } => "malformed_responses",
-            Event::RequestOverdue => "request_overdue",
+            LogEvent::StartupFailed { .. } => "startup_failed",
+            LogEvent::AddressInUse { .. } => "address_in_use",
+            LogEvent::Serving { .. } => "serving",
+            LogEvent::ShutdownStarted { .. } => "shutdown_started",
+            LogEvent::ListenerClosing { .. } => "listener_closing",
+            LogEvent::ConfigurationReloaded { .. } => "configuration_reloaded",
+            LogEvent::ConfigurationReloadFailed { .. } => "configuration_reload_failed",
+            LogEvent::DiscoveryFailed { .. } => "discovery_failed",
+            LogEvent::AcceptFailed { .. } => "accept_failed",
+            LogEvent::MalformedResponses { .. } => "malformed_responses",
+            LogEvent::RequestOverdue => "request_overdue",
         }
     }
 
     /// Writes the fields, each with a space before it.
     fn write_fields(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Event::AddressInUse { address, .. } | Event::DiscoveryFailed { address, .. } => {
+            LogEvent::AddressInUse { address, .. } | LogEvent::DiscoveryFailed { address, .. } => {
                 write!(formatter, " address={address}")
             }
-            Event::Serving { gateway, address } => {
+            LogEvent::Serving { gateway, address } => {
                 write!(formatter, " gateway={gateway} address={address}")
             }
-            Event::ShutdownStarted { gateway } | Event::ListenerClosing { gateway } => {
+            LogEvent::ShutdownStarted { gateway } | LogEvent::ListenerClosing { gateway } => {
                 write!(formatter, " gateway={gateway}")
             }
-            Event::ConfigurationReloaded { discovery } => {
+            LogEvent::ConfigurationReloaded { discovery } => {
                 write!(formatter, " discovery={discovery}")
             }
-            Event::MalformedResponses {
+            LogEvent::MalformedResponses {
                 count,
                 last_endpoint,
                 ..
             } => write!(formatter, " count={count} last_endpoint={last_endpoint}"),
-            Event::StartupFailed { .. }
-            | Event::ConfigurationReloadFailed { .. }
-            | Event::AcceptFailed { .. }
-            | Event::RequestOverdue => Ok(()),
+            LogEvent::StartupFailed { .. }
+            | LogEvent::ConfigurationReloadFailed { .. }
+            | LogEvent::AcceptFailed { .. }
+            | LogEvent::RequestOverdue => Ok(()),
         }
     }
 
@@ -138,8 +138,8 @@
     /// "serves at ADDRESS" at the end of a line, "stops", and "lets nobody new in".
     fn write_sentence(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Event::StartupFailed { error } => write!(formatter, "{error}"),
-            Event::AddressInUse {
+            LogEvent::StartupFailed { error } => write!(formatter, "{error}"),
+            LogEvent::AddressInUse {
                 purpose,
                 address,
                 timeout,
@@ -148,30 +148,30 @@
                 "cannot {purpose} yet: {address} is in use; retrying for up to {} s",
                 timeout.as_secs()
             ),
-            Event::Serving { gateway, address } => {
+            LogEvent::Serving { gateway, address } => {
                 write!(formatter, "{gateway} serves at {address}")
             }
-            Event::ShutdownStarted { gateway } => write!(formatter, "{gateway} stops"),
-            Event::ListenerClosing { gateway } => {
+            LogEvent::ShutdownStarted { gateway } => write!(formatter, "{gateway} stops"),
+            LogEvent::ListenerClosing { gateway } => {
                 write!(formatter, "{gateway} lets nobody new in")
             }
-            Event::ConfigurationReloaded { discovery } => {
+            LogEvent::ConfigurationReloaded { discovery } => {
                 write!(
                     formatter,
                     "configuration read again; discovery at {discovery}"
                 )
             }
-            Event::ConfigurationReloadFailed { error } => {
+            LogEvent::ConfigurationReloadFailed { error } => {
                 write!(formatter, "the configuration in use stays: {error}")
             }
-            Event::DiscoveryFailed { address, error } => {
+            LogEvent::DiscoveryFailed { address, error } => {
                 write!(formatter, "discovery at {address}: {error}; retrying")
             }
-            Event::AcceptFailed { error } => write!(
+            LogEvent::AcceptFailed { error } => write!(
                 formatter,
                 "cannot accept a connection: {error}; closing an idle one and retrying"
             ),
-            Event::MalformedResponses {
+            LogEvent::MalformedResponses {
                 count,
                 last_endpoint,
                 last_error,
@@ -179,14 +179,14 @@
                 formatter,
                 "{count} malformed responses, the last from {last_endpoint}: {last_error}"
             ),
-            Event::RequestOverdue => {
+            LogEvent::RequestOverdue => {
                 formatter.write_str("a request had no answer at its deadline, and fails")
             }
         }
     }
 }
 
-impl Display for Event<'_> {
+impl Display for LogEvent<'_> {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         write!(formatter, "{PROGRAM}: {}", self.name())?;
         self.write_fields(formatter)?;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,7 +1,7 @@
 //! The life of a gateway process: startup, serving, graceful shutdown.
 
 use crate::gateway::configuration::Configuration;
-use crate::gateway::log::{self, Event};
+use crate::gateway::log::{self, LogEvent};
 use crate::gateway::shutdown::shut_down;
 use crate::gateway::signals::Signals;
 use crate::gateway::startup::{RunningGateway, bind_sockets};
@@ -24,7 +24,7 @@
     let sockets = tokio::select! {
         sockets = bind_sockets(&configuration) => sockets?,
         () = signals.termination.received() => {
-            log::event(&Event::ShutdownStarted { gateway: &name });
+            log::event(&LogEvent::ShutdownStarted { gateway: &name });
             return Ok(());
         }
     };
@@ -33,14 +33,14 @@
         () = serve(&running) => {}
         () = signals.termination.received() => {}
     }
-    log::event(&Event::ShutdownStarted { gateway: &name });
+    log::event(&LogEvent::ShutdownStarted { gateway: &name });
     shut_down(running, &mut signals.termination).await;
     Ok(())
 }
 
 async fn serve(running: &RunningGateway) {
     running.wait_for_first_list().await;
-    log::event(&Event::Serving {
+    log::event(&LogEvent::Serving {
         gateway: &running.name,
         address: running.listen_address,
     });
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::clients::{ClientConnections, ClientListener};
 use crate::gateway::event_loop::GatewayHandle;
-use crate::gateway::log::{self, Event};
+use crate::gateway::log::{self, LogEvent};
 use crate::gateway::signals::TerminationSignals;
 use crate::gateway::startup::RunningGateway;
 use std::time::Duration;
@@ -36,7 +36,7 @@
     let deadline = Instant::now() + time_limit;
     running.gateway.borrow_mut().shut_down_within(time_limit);
     accept_for_grace_period(&running).await;
-    log::event(&Event::ListenerClosing {
+    log::event(&LogEvent::ListenerClosing {
         gateway: &running.name,
     });
     // From here on every connection is closed as soon as nothing is in flight on it.
--- a/src/gateway/signals.rs
+++ b/src/gateway/signals.rs
@@ -1,7 +1,7 @@
 //! The signals of the process: SIGTERM and SIGINT ask it to end, SIGHUP to read its configuration again.
 
 use crate::gateway::configuration::Configuration;
-use crate::gateway::log::{self, Event};
+use crate::gateway::log::{self, LogEvent};
 use crate::gateway::startup_error::StartupError;
 use std::net::SocketAddr;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -60,11 +60,11 @@
         match Configuration::reload() {
             Ok(configuration) => {
                 let discovery = configuration.discovery_address;
-                log::event(&Event::ConfigurationReloaded { discovery });
+                log::event(&LogEvent::ConfigurationReloaded { discovery });
                 // Also sent if the address is the same: the gateway then fetches the whole list once more.
                 let _ = discovery_address.send(discovery);
             }
-            Err(error) => log::event(&Event::ConfigurationReloadFailed { error: &error }),
+            Err(error) => log::event(&LogEvent::ConfigurationReloadFailed { error: &error }),
         }
     }
 }
--- a/tests/gateway/log.rs
+++ b/tests/gateway/log.rs
@@ -2,7 +2,7 @@
 
 use marlshelf::gateway::bind::SocketPurpose;
 use marlshelf::gateway::discovery::DiscoveryError;
-use marlshelf::gateway::log::Event;
+use marlshelf::gateway::log::LogEvent;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 #[test]
 fn the_serving_line_ends_with_the_address() {
-    let event = Event::Serving {
+    let event = LogEvent::Serving {
         gateway: "gw-0",
         address: address(),
     };
@@ -24,18 +24,18 @@
 
 #[test]
 fn the_shutdown_lines_have_the_texts_that_deployment_tools_look_for() {
-    let started = Event::ShutdownStarted { gateway: "gw-0" }.to_string();
+    let started = LogEvent::ShutdownStarted { gateway: "gw-0" }.to_string();
     assert_eq!(
         started,
         "marlshelf-gateway: shutdown_started gateway=gw-0: gw-0 stops"
     );
-    let closing = Event::ListenerClosing { gateway: "gw-0" }.to_string();
+    let closing = LogEvent::ListenerClosing { gateway: "gw-0" }.to_string();
     assert!(closing.ends_with("gw-0 lets nobody new in"), "{closing}");
 }
 
 #[test]
 fn a_failure_names_what_was_wrong_where_and_what_happens_now() {
-    let event = Event::DiscoveryFailed {
+    let event = LogEvent::DiscoveryFailed {
         address: address(),
         error: &DiscoveryError::WatchEnded,
     };
@@ -44,7 +44,7 @@
         "marlshelf-gateway: discovery_failed address=127.0.0.1:6379: \
          discovery at 127.0.0.1:6379: watch: ended by discovery; retrying"
     );
-    let event = Event::AddressInUse {
+    let event = LogEvent::AddressInUse {
         purpose: &SocketPurpose::Gossip,
         address: address(),
         timeout: Duration::from_secs(30),
@@ -59,7 +59,7 @@
 #[test]
 fn an_event_without_fields_has_its_sentence_right_after_its_name() {
     assert_eq!(
-        Event::RequestOverdue.to_string(),
+        LogEvent::RequestOverdue.to_string(),
         "marlshelf-gateway: request_overdue: a request had no answer at its deadline, and fails"
     );
 }
@@ -67,7 +67,7 @@
 #[test]
 fn malformed_responses_are_counted_in_one_line_with_the_last_of_them() {
     let error = std::io::Error::other("unexpected byte");
-    let event = Event::MalformedResponses {
+    let event = LogEvent::MalformedResponses {
         count: 3,
         last_endpoint: "s-1",
         last_error: &error,
