--- a/src/gateway/clients/fields.rs
+++ b/src/gateway/clients/fields.rs
@@ -3,14 +3,15 @@
 use super::request_error::{Field, RequestError};
 use super::schema::RequestSchema;
 use std::ops::Range;
+use std::time::Duration;
 
 /// The longest deadline that a client may set, in milliseconds.
-const MAX_DEADLINE_MS: f64 = 60_000.0;
+const MAX_DEADLINE_MS: u32 = 60_000;
 
 /// The client's deadline, and where its digits lie in the fields.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Deadline {
-    pub(super) ms: f64,
+    pub(super) wait: Duration,
     pub(super) digits: Range<usize>,
 }
 
@@ -137,10 +138,9 @@
 }
 
 fn parse_deadline(value: &str, digits: Range<usize>) -> Option<Deadline> {
-    let ms = f64::from(parse_integer(value)?);
-    (1.0..=MAX_DEADLINE_MS)
-        .contains(&ms)
-        .then_some(Deadline { ms, digits })
+    let milliseconds = parse_integer(value).filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms))?;
+    let wait = Duration::from_millis(milliseconds.into());
+    Some(Deadline { wait, digits })
 }
 
 fn parse_cost(value: &str, max_cost: f64) -> Option<f64> {
--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -6,6 +6,7 @@
 use crate::gateway::resp::{self, Command};
 use crate::{EndpointName, IdempotencyDocument};
 use std::ops::Range;
+use std::time::Duration;
 
 /// The command for requests of idempotent classes.
 const IDEMPOTENT_COMMAND: &[u8] = b"Q.ASK";
@@ -22,6 +23,8 @@
 const HEX_DIGITS: usize = 16;
 /// Tenants are numbers of 33 bits.
 const TENANT_LIMIT: u64 = 1 << 33;
+/// An endpoint is told that the gateway waits at least this long.
+const MIN_WAIT_MS: u64 = 1;
 /// The bytes of CR LF.
 const TERMINATOR_LEN: usize = 2;
 
@@ -51,8 +54,8 @@
     pub shard_size: u32,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// How long the client waits for the answer, in milliseconds.
-    pub wait_ms: f64,
+    /// How long the client waits for the answer.
+    pub wait: Duration,
 }
 
 impl ClientRequest {
@@ -89,7 +92,7 @@
         let fields_range = command.part_range(FIELDS_PART);
         let fields_start = fields_range.start;
         // Past the deadline of its class no answer is of use, however long the client would wait.
-        let max_wait_ms = schema.class(class).deadline_ms.unwrap_or(f64::INFINITY);
+        let max_wait = schema.class(class).deadline.unwrap_or(Duration::MAX);
         Ok(ClientRequest {
             command: command.bytes().into(),
             fields_header: command.part_range(ID_PART).end + TERMINATOR_LEN,
@@ -104,7 +107,7 @@
             shard_start: fields.shard_start()?,
             shard_size: fields.shard_size()?,
             is_retry: fields.is_retry,
-            wait_ms: deadline.ms.min(max_wait_ms),
+            wait: deadline.wait.min(max_wait),
         })
     }
 
@@ -114,10 +117,12 @@
         self.command.len()
     }
 
-    /// Appends the command for an endpoint: unchanged but for the deadline, which tells how long the gateway waits.
-    pub fn encode_for_endpoint(&self, wait_ms: u64, out: &mut Vec<u8>) {
+    /// Appends the command for an endpoint: unchanged but for the deadline, which says for how many milliseconds the
+    /// gateway waits, and is at least one.
+    pub fn encode_for_endpoint(&self, wait: Duration, out: &mut Vec<u8>) {
+        let wait_ms = wait.as_millis() as u64;
         let mut digits = Vec::with_capacity(20);
-        resp::put_digits(&mut digits, wait_ms);
+        resp::put_digits(&mut digits, wait_ms.max(MIN_WAIT_MS));
         let fields_len = self.fields.len() - self.deadline_digits.len() + digits.len();
         out.extend_from_slice(&self.command[..self.fields_header]);
         resp::put_number(out, b'$', fields_len);
--- a/src/gateway/clients/schema.rs
+++ b/src/gateway/clients/schema.rs
@@ -1,6 +1,8 @@
 //! What a request is validated against.
 
-use crate::{IdempotencyDocument, SettingsDocument};
+use crate::gateway::engine_time::to_duration;
+use crate::{IdempotencyDocument, Milliseconds, SettingsDocument};
+use std::time::Duration;
 
 /// The names and limits that the settings define for requests. Classes and plans are known by their index.
 #[derive(Debug, Clone)]
@@ -17,7 +19,7 @@
     name: String,
     pub(super) idempotency: IdempotencyDocument,
     /// No client of this class waits longer; `None` where the class sets no deadline.
-    pub(super) deadline_ms: Option<f64>,
+    pub(super) deadline: Option<Duration>,
 }
 
 impl RequestSchema {
@@ -30,7 +32,8 @@
             .map(|class| ClassSchema {
                 name: class.name.clone(),
                 idempotency: class.idempotency,
-                deadline_ms: Some(class.deadline_ms).filter(|ms| *ms > 0.0),
+                deadline: (class.deadline_ms > 0.0)
+                    .then(|| to_duration(Milliseconds(class.deadline_ms))),
             })
             .collect();
         RequestSchema {
--- a/src/gateway/endpoints/connection.rs
+++ b/src/gateway/endpoints/connection.rs
@@ -130,7 +130,7 @@
     /// once is written by a task of its own.
     ///
     /// # Errors
-    /// When the connection broke before it took a single byte. It is closed and stays unassigned.
+    /// When the connection broke before it took a single byte. It stays unassigned, and is to be closed.
     pub fn send_command(
         self: &Rc<EndpointConnection>,
         request: RequestId,
@@ -139,10 +139,7 @@
         let written = match self.stream.try_write(command) {
             Ok(written) => written,
             Err(error) if error.kind() == ErrorKind::WouldBlock => 0,
-            Err(error) => {
-                self.close();
-                return Err(error);
-            }
+            Err(error) => return Err(error),
         };
         if written == command.len() {
             self.state
--- a/src/gateway/endpoints/idle_connections.rs
+++ b/src/gateway/endpoints/idle_connections.rs
@@ -2,10 +2,15 @@
 
 use crate::gateway::endpoints::connection::EndpointConnection;
 use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// A connection rests this long after a response before it is used again: surplus bytes of the response may arrive
+/// a moment later, and must not be taken for the next response.
+pub(super) const REUSE_REST: Duration = Duration::from_millis(5);
 
 struct IdleConnection {
     connection: Rc<EndpointConnection>,
-    idle_since_ms: f64,
+    idle_since: Instant,
 }
 
 /// The idle connections to one endpoint, oldest first.
@@ -15,20 +20,20 @@
 }
 
 impl IdleConnections {
-    pub fn push(&mut self, connection: Rc<EndpointConnection>, idle_since_ms: f64) {
+    pub fn push(&mut self, connection: Rc<EndpointConnection>, idle_since: Instant) {
         self.connections.push(IdleConnection {
             connection,
-            idle_since_ms,
+            idle_since,
         });
     }
 
-    /// Takes a usable connection that has been idle since `rested_before_ms` or longer. Of several it is the one
-    /// that was used last, so that the others can grow old and be closed. Stale ones found on the way are closed.
-    pub fn take_newest(&mut self, rested_before_ms: f64) -> Option<Rc<EndpointConnection>> {
+    /// Takes a usable connection that has rested for [`REUSE_REST`]. Of several it is the one that was used last, so
+    /// that the others can grow old and be closed. Stale ones found on the way are closed.
+    pub fn take_newest(&mut self, now: Instant) -> Option<Rc<EndpointConnection>> {
         while let Some(position) = self
             .connections
             .iter()
-            .rposition(|idle| idle.idle_since_ms <= rested_before_ms)
+            .rposition(|idle| now.saturating_duration_since(idle.idle_since) >= REUSE_REST)
         {
             let connection = self.connections.remove(position).connection;
             if !connection.is_stale() {
@@ -40,8 +45,8 @@
     }
 
     /// Since when the oldest connection has been idle; `None` if there is none.
-    pub fn oldest_idle_since_ms(&self) -> Option<f64> {
-        self.connections.first().map(|idle| idle.idle_since_ms)
+    pub fn oldest_idle_since(&self) -> Option<Instant> {
+        self.connections.first().map(|idle| idle.idle_since)
     }
 
     /// Closes the connection that has been idle the longest.
@@ -51,12 +56,12 @@
         }
     }
 
-    /// Closes the connections that have been idle since before this time.
-    pub fn close_idle_since_before(&mut self, before_ms: f64) {
+    /// Closes the connections that have been idle for longer than this.
+    pub fn close_idle_longer_than(&mut self, limit: Duration, now: Instant) {
         let expired = self
             .connections
             .iter()
-            .take_while(|idle| idle.idle_since_ms < before_ms)
+            .take_while(|idle| now.saturating_duration_since(idle.idle_since) > limit)
             .count();
         for idle in self.connections.drain(..expired) {
             idle.connection.close();
--- a/src/gateway/endpoints/mod.rs
+++ b/src/gateway/endpoints/mod.rs
@@ -5,6 +5,7 @@
 //! enough to abort the attempt, and no late response can be taken for the response to another request.
 
 mod connection;
+mod dialer;
 mod idle_connections;
 mod permits;
 mod pool;
@@ -12,15 +13,31 @@
 mod response;
 
 pub(crate) use connection::{ConnectionState, EndpointConnection, EndpointProtocolError};
-pub(crate) use permits::ConnectionPermit;
-pub(crate) use pool::EndpointPool;
+pub use dialer::Connector;
+pub(crate) use dialer::Dial;
+pub(crate) use pool::{EndpointPool, EndpointPoolLimits};
 pub(crate) use response::EndpointResponse;
 
 use crate::RequestId;
 use std::rc::Rc;
+use tokio::net::TcpStream;
+
+/// An attempt, as the connections to endpoints know it.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    pub request: RequestId,
+    /// The number of the attempt among those of the request, from 0.
+    pub number: u32,
+}
 
 /// What happens on the connections to endpoints.
 pub(crate) enum EndpointEvent<'a> {
+    /// A connect has ended. The attempt that it was for may have ended before.
+    ConnectFinished {
+        dial: Dial,
+        /// The open socket; `None` if the connect failed or took too long.
+        stream: Option<TcpStream>,
+    },
     /// A response arrived on a connection that carries an attempt.
     ResponseReceived {
         connection: &'a Rc<EndpointConnection>,
--- /dev/null
+++ b/src/gateway/event_loop/engine_actions.rs
@@ -0,0 +1,38 @@
+//! The dispatcher of the engine's actions.
+
+use crate::gateway::event_loop::timers::Timer;
+use crate::gateway::event_loop::{EventLoop, gateway_answers};
+use crate::{Action, Milliseconds, Timestamp};
+use std::time::Instant;
+
+/// Carries out one action. `now` is the time of the event that led to it.
+pub(super) fn execute(event_loop: &mut EventLoop, action: Action, now: Instant) {
+    match action {
+        Action::Forward {
+            request,
+            endpoint,
+            deadline_ms,
+        } => {
+            let deadline = event_loop.clock.instant(Timestamp(deadline_ms));
+            event_loop.start_attempt(request, endpoint, now, deadline);
+        }
+        Action::Reject {
+            request,
+            retry_after_ms,
+        } => {
+            let line = gateway_answers::rejection(Milliseconds(retry_after_ms));
+            event_loop.answer(request, &line);
+        }
+        Action::Fail { request } => event_loop.answer(request, gateway_answers::FAILED),
+        Action::SendGossip { to, text } => {
+            if let Some(gossip) = &event_loop.gossip {
+                gossip.send(to, &text);
+            }
+        }
+        Action::SetTimer { token, delay_ms } => {
+            let expires_at = event_loop.clock.timestamp(now) + Milliseconds(delay_ms);
+            let expires_at = event_loop.clock.instant(expires_at);
+            event_loop.schedule(expires_at, Timer::Engine { token });
+        }
+    }
+}
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -1,290 +1,298 @@
 //! The event loop of a gateway: it hands events to the decision engine and carries out the actions that the engine
 //! returns. It decides nothing itself.
 //!
-//! All state has one owner, [`Gateway`]. Each task (a client connection, an endpoint connection, the gossip socket,
+//! All state has one owner, [`EventLoop`]. Each task (a client connection, an endpoint connection, the gossip socket,
 //! the timers) borrows it for the length of one synchronous call and never across an `await`, so calls neither
 //! overlap nor need locks.
 //!
 //! | component | what it owns |
 //! | --- | --- |
-//! | `RequestTable` | the requests in flight, their attempts, and what they occupy |
-//! | `EndpointPool` | the listed endpoints and their connections |
+//! | `EngineQueue` | the decision engine, with everything that decisions depend on |
+//! | `EngineClock` | the conversion between the gateway's times and the engine's |
 //! | `TimerQueue` | all timers |
-//! | `DecisionEngine` | everything that decisions depend on |
+//! | `Forwarder` | what is on its way, and what concerns both of its parts: |
+//! | - `InFlightRequests` | the requests in flight, their attempts, and what they occupy |
+//! | - `EndpointPool` | the listed endpoints and the connections to them |
+//! | `EndpointTranslator` | the numbers of zones and hardware models |
+//! | `GossipSocket` | the socket to the other gateways |
+//! | `ServicePhase` | by when everything has to be answered |
+//!
+//! Two dispatchers say what happens when: `engine_actions` for what the engine asks for, and `socket_events` for what
+//! happens on sockets. Timers are dispatched in `timer_task`.
 
-mod actions;
-mod active_request;
-mod attempts;
-mod client_requests;
-mod clock;
-mod endpoint_events;
-mod request_table;
+mod attempt;
+mod endpoint_translator;
+mod engine_actions;
+mod engine_queue;
+mod forwarder;
+mod gateway_answers;
+mod in_flight_request;
+mod in_flight_requests;
+mod malformed_responses;
+mod response_outcome;
+mod service_phase;
+mod socket_events;
+mod timer_task;
 mod timers;
 
+pub use crate::gateway::endpoints::Connector;
+pub use timer_task::run_timers;
+
+use crate::gateway::clients::{ClientConnection, ClientRequest};
 use crate::gateway::configuration::Configuration;
-use crate::gateway::endpoints::EndpointPool;
-use crate::gateway::gossip_socket::{GossipHandler, GossipSocket};
-use crate::gateway::log;
+use crate::gateway::discovery::EndpointUpdate;
+use crate::gateway::endpoints::Dial;
+use crate::gateway::engine_time::{EngineClock, to_duration};
+use crate::gateway::gossip_socket::GossipSocket;
+use crate::gateway::log::{self, LogEvent};
 use crate::{
-    AttemptResult, DecisionEngine, Event, GatewayId, RequestId, Settings, SettingsDocument,
+    AttemptOutcome, AttemptResult, DecisionEngine, EndpointName, Event, Milliseconds, RequestId,
     SettingsError,
 };
-use clock::Clock;
-use endpoint_events::MalformedResponses;
-use request_table::RequestTable;
+use endpoint_translator::EndpointTranslator;
+use engine_actions::execute;
+use engine_queue::EngineQueue;
+use forwarder::{Forwarded, Forwarder, ForwarderLimits};
+use in_flight_request::InFlightRequest;
+use service_phase::ServicePhase;
 use std::cell::RefCell;
-use std::collections::VecDeque;
-use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
-use timers::{NextTimer, Timer, TimerQueue};
+use timers::{Timer, TimerQueue};
 use tokio::net::TcpStream;
-use tokio::sync::Notify;
-use tokio::time::sleep_until;
 
-/// Opens connections to endpoints. It needs no timeout of its own.
-pub type Connector =
-    Rc<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = std::io::Result<TcpStream>>>>>;
+/// The engine's deadline lies this long before the client's: the client's time runs from when it sent the request,
+/// and the way of the answer back, also through a busy core, takes some of it.
+const CLIENT_DEADLINE_MARGIN: Duration = Duration::from_millis(6);
+/// A request without a final answer this long after the engine's deadline fails, so that every client gets one.
+const ANSWER_GRACE: Duration = Duration::from_millis(3);
 
 /// A shared handle to the one owner of all state.
-pub type GatewayHandle = Rc<RefCell<Gateway>>;
-
-/// Idle connections are closed after this part of the time after which endpoints close them.
-const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
-/// Idle connections are looked through this many times within their idle timeout.
-const REAPS_PER_IDLE_TIMEOUT: f64 = 8.0;
-const MIN_REAP_INTERVAL_MS: f64 = 50.0;
-const MAX_REAP_INTERVAL_MS: f64 = 2000.0;
-/// A connection rests this long after a response before it is used again: surplus bytes of the response may arrive
-/// a moment later, and must not be taken for the next response.
-const REUSE_REST_MS: f64 = 5.0;
+pub type EventLoopHandle = Rc<RefCell<EventLoop>>;
 
-/// One gateway: the decision engine, and what its actions act on.
-pub struct Gateway {
-    self_reference: Weak<RefCell<Gateway>>,
-    engine: DecisionEngine,
-    /// Events that wait for the one that is being handled.
-    pending_events: VecDeque<Event>,
-    is_handling_event: bool,
-    clock: Clock,
+/// The decision engine, and the components that its actions act on.
+pub struct EventLoop {
+    engine: EngineQueue,
+    clock: EngineClock,
     timers: TimerQueue,
-    requests: RequestTable,
-    endpoints: EndpointPool,
-    connector: Connector,
+    forwarder: Forwarder,
+    endpoint_translator: EndpointTranslator,
+    /// Absent if gossip is disabled.
     gossip: Option<GossipSocket>,
-    /// The settings as they are written.
-    pub document: SettingsDocument,
-    /// The settings as the engine uses them.
-    pub settings: Settings,
-    /// When everything has to be answered because the process is killed soon after. Infinite before a shutdown.
-    shutdown_deadline_ms: f64,
-    /// Is notified of each change of the endpoint list, and so of the first one.
-    pub first_list: Rc<Notify>,
-    /// Holds a command while it is written, so that not every attempt needs a buffer of its own.
-    write_buffer: Vec<u8>,
-    malformed_responses: Option<MalformedResponses>,
+    phase: ServicePhase,
 }
 
-impl Gateway {
-    /// A gateway that has just started and opens at most `max_connections` connections to endpoints.
+impl EventLoop {
+    /// An event loop that has just started and opens at most `max_connections` connections to endpoints.
     ///
     /// # Errors
     /// When the settings hold a value that the engine cannot act on.
     pub fn new(
-        config: Configuration,
+        configuration: Configuration,
         gossip: Option<GossipSocket>,
         max_connections: usize,
-    ) -> Result<GatewayHandle, SettingsError> {
-        let engine = DecisionEngine::new(config.settings.clone(), config.seed)?;
-        let memory_bytes = config.memory_per_purpose();
-        let max_requests = config.document.limits.max_active_requests;
-        let gateway = Rc::new_cyclic(|self_reference: &Weak<RefCell<Gateway>>| {
-            RefCell::new(Gateway {
-                self_reference: self_reference.clone(),
+    ) -> Result<EventLoopHandle, SettingsError> {
+        let memory_per_purpose = configuration.memory_per_purpose();
+        let Configuration {
+            settings,
+            document,
+            seed,
+            ..
+        } = configuration;
+        let limits = ForwarderLimits {
+            max_requests: document.limits.max_active_requests,
+            max_connections,
+            memory_per_purpose,
+            connect_timeout: to_duration(Milliseconds(document.limits.connect_timeout_ms)),
+            endpoint_idle_timeout: to_duration(Milliseconds(
+                document.limits.idle_connection_timeout_ms,
+            )),
+        };
+        let engine = EngineQueue::new(DecisionEngine::new(settings.clone(), seed)?);
+        let event_loop = Rc::new_cyclic(|event_loop: &Weak<RefCell<EventLoop>>| {
+            RefCell::new(EventLoop {
                 engine,
-                pending_events: VecDeque::new(),
-                is_handling_event: false,
-                clock: Clock::new(),
+                clock: EngineClock::new(),
                 timers: TimerQueue::new(),
-                requests: RequestTable::new(max_requests, memory_bytes),
-                endpoints: EndpointPool::new(max_connections, memory_bytes, self_reference.clone()),
-                connector: Rc::new(|address| Box::pin(TcpStream::connect(address))),
+                forwarder: Forwarder::new(&settings, &limits, event_loop.clone()),
+                endpoint_translator: EndpointTranslator::new(
+                    document.zones,
+                    document.hardware_kinds,
+                ),
                 gossip,
-                document: config.document,
-                settings: config.settings,
-                shutdown_deadline_ms: f64::INFINITY,
-                first_list: Rc::default(),
-                write_buffer: Vec::new(),
-                malformed_responses: None,
+                phase: ServicePhase::Serving,
             })
         });
-        gateway.borrow_mut().reap_idle_connections();
-        Ok(gateway)
-    }
-
-    /// The time in milliseconds of Unix time. It never steps back.
-    #[must_use]
-    pub fn now(&self) -> f64 {
-        self.clock.now_ms()
+        event_loop.borrow_mut().reap_idle_connections();
+        Ok(event_loop)
     }
 
     /// Replaces the way in which connections to endpoints are opened, which is plain TCP by default.
     pub fn set_connector(&mut self, connector: Connector) {
-        self.connector = connector;
+        self.forwarder.endpoints.set_connector(connector);
     }
 
     /// Adds an open connection, on which nothing was sent yet, to the idle connections of a listed endpoint.
     /// Without a permit for it, or if the endpoint is not listed, the connection is closed.
     pub fn adopt_connection(&mut self, endpoint: &str, stream: TcpStream) {
-        let Some(incarnation) = self.endpoints.get(endpoint).map(|entry| entry.incarnation) else {
-            return;
-        };
-        let Some(permit) = self.endpoints.acquire_permit() else {
-            return;
-        };
-        let connection =
-            self.endpoints
-                .open_connection(stream, endpoint.into(), incarnation, permit);
-        let idle_since_ms = self.clock.now_ms() - REUSE_REST_MS;
-        self.endpoints.put_idle(&connection, idle_since_ms);
+        self.forwarder.endpoints.adopt_connection(endpoint, stream);
     }
 
     /// How many requests have been received since the start.
     #[must_use]
     pub fn requests_received(&self) -> u64 {
-        self.requests.received()
+        self.forwarder.requests.received()
     }
 
     /// How many requests are in flight, including those whose client has disconnected while an attempt still runs.
     #[must_use]
     pub fn active_requests(&self) -> usize {
-        self.requests.len()
+        self.forwarder.requests.len()
     }
 
     /// Whether no client waits for an answer.
     #[must_use]
     pub fn all_answered(&self) -> bool {
-        self.requests.all_answered()
+        self.forwarder.requests.all_answered()
     }
 
     /// Limits the time for all answers, since the process is killed after it: requests in flight, and those that
     /// still come, are answered within `grace`.
     pub fn shut_down_within(&mut self, grace: Duration) {
-        self.shutdown_deadline_ms = self.now() + grace.as_secs_f64() * 1000.0;
-        for request in self.requests.ids() {
-            self.schedule(self.shutdown_deadline_ms, Timer::AnswerDeadline { request });
+        let deadline = Instant::now() + grace;
+        self.phase = ServicePhase::ShuttingDown { deadline };
+        for request in self.forwarder.requests.ids() {
+            self.schedule(deadline, Timer::AnswerDeadline { request });
         }
     }
 
-    /// Hands an event to the engine and carries out its actions. An action that ends at once brings an event of its
-    /// own, which waits until the present one is done.
-    fn handle_event(&mut self, event: Event) {
-        self.pending_events.push_back(event);
-        if self.is_handling_event {
+    // The decision engine.
+
+    /// Hands an event to the engine and carries out the actions, unless that is being done for another event: then the
+    /// event waits for its turn.
+    fn notify_engine(&mut self, event: Event) {
+        if !self.engine.push(event) {
             return;
         }
-        self.is_handling_event = true;
-        while let Some(event) = self.pending_events.pop_front() {
-            let now_ms = self.clock.now_ms();
-            for action in self.engine.handle_event(now_ms, event) {
-                self.execute(action, now_ms);
+        while let Some(decision) = self.engine.next_decision(&self.clock) {
+            for action in decision.actions {
+                execute(self, action, decision.made_at);
             }
         }
-        self.is_handling_event = false;
     }
 
-    fn schedule(&mut self, at_ms: f64, timer: Timer) {
-        self.timers
-            .schedule(at_ms, timer, |timer| is_pending(timer, &self.requests));
+    /// Reports the end of an attempt, if one has ended.
+    fn attempt_finished(&mut self, outcome: Option<AttemptOutcome>) {
+        if let Some(outcome) = outcome {
+            self.notify_engine(Event::AttemptFinished(outcome));
+        }
     }
 
-    /// The task that waits for all timers. It runs for ever.
-    pub async fn run_timers(gateway: GatewayHandle) {
-        let wake_up = gateway.borrow().timers.wake_up();
-        loop {
-            let next = gateway.borrow_mut().fire_expired_timers();
-            match next {
-                Some(instant) => {
-                    tokio::select! {
-                        () = sleep_until(instant.into()) => {}
-                        () = wake_up.notified() => {}
-                    }
-                }
-                None => wake_up.notified().await,
-            }
-        }
+    // Requests of clients.
+
+    fn request_received(
+        &mut self,
+        id: RequestId,
+        command: ClientRequest,
+        client: Rc<ClientConnection>,
+    ) {
+        let now = Instant::now();
+        let client_deadline = (now + command.wait).checked_sub(CLIENT_DEADLINE_MARGIN);
+        let deadline = self.phase.limit(client_deadline.unwrap_or(now));
+        let request = InFlightRequest::new(command, client);
+        let engine_request = request.to_engine_request(id, self.clock.timestamp(deadline));
+        self.forwarder.requests.insert(id, request);
+        let timer = Timer::AnswerDeadline { request: id };
+        self.schedule(deadline + ANSWER_GRACE, timer);
+        self.notify_engine(Event::RequestReceived(engine_request));
+        self.forwarder.requests.mark_waiting(id);
     }
 
-    /// Fires the timers that have expired, and returns when the next one does.
-    fn fire_expired_timers(&mut self) -> Option<Instant> {
-        loop {
-            let now_ms = self.clock.now_ms();
-            let is_pending = |timer: &Timer| is_pending(timer, &self.requests);
-            match self.timers.next(now_ms, is_pending) {
-                NextTimer::Expired(timer) => self.timer_expired(timer),
-                NextTimer::ExpiresAt { unix_ms } => return Some(self.clock.instant_at(unix_ms)),
-                NextTimer::Nothing => return None,
-            }
-        }
+    /// Gives a request its final answer, unless it has one.
+    fn answer(&mut self, id: RequestId, line: &[u8]) {
+        self.forwarder.requests.answer(id, line);
     }
 
-    fn timer_expired(&mut self, timer: Timer) {
-        match timer {
-            Timer::Engine { token } => self.handle_event(Event::TimerFired { token }),
-            Timer::AttemptDeadline { request, .. } => {
-                self.abort_attempt(request, AttemptResult::TimedOut);
-            }
-            Timer::AnswerDeadline { request } => self.answer_deadline_passed(request),
-            Timer::ReapIdleConnections => self.reap_idle_connections(),
+    /// The client of a request in flight has disconnected, or counts as disconnected. Nothing more is sent for the
+    /// request.
+    fn client_disconnected(&mut self, id: RequestId) {
+        if self.forwarder.requests.take_client(id).is_none() {
+            return;
         }
+        self.notify_engine(Event::ClientDisconnected { request: id });
+        let cancelled = self.forwarder.requests.cancel_unsent_attempt(id);
+        self.attempt_finished(cancelled);
     }
 
     /// A request has no final answer though its time is up: the engine counts it as abandoned, and the client gets
     /// a failure.
     fn answer_deadline_passed(&mut self, id: RequestId) {
-        if self.now() < self.shutdown_deadline_ms {
-            log::event(&log::LogEvent::RequestOverdue);
+        if !self.phase.has_ended(Instant::now()) {
+            log::event(&LogEvent::RequestOverdue);
         }
-        let client = self
-            .requests
-            .get(id)
-            .and_then(|request| request.client().cloned());
+        let client = self.forwarder.requests.client(id).cloned();
         self.client_disconnected(id);
         if let Some(client) = client {
-            client.answer(id, actions::FAILED_ANSWER);
+            client.answer(id, gateway_answers::FAILED);
         }
     }
 
-    /// Closes old idle connections, logs malformed responses, and schedules itself.
-    fn reap_idle_connections(&mut self) {
-        let idle_timeout_ms =
-            self.document.limits.idle_connection_timeout_ms * IDLE_TIMEOUT_FRACTION;
-        let now_ms = self.now();
-        self.endpoints
-            .close_idle_since_before(now_ms - idle_timeout_ms);
-        if let Some(malformed) = self.malformed_responses.take() {
-            malformed.log();
+    // Attempts and the connections that carry them.
+
+    fn start_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: EndpointName,
+        now: Instant,
+        deadline: Instant,
+    ) {
+        match self.forwarder.start_attempt(id, endpoint, now, deadline) {
+            Forwarded::Running(attempt) => {
+                self.schedule(deadline, Timer::AttemptDeadline { attempt });
+            }
+            Forwarded::Ended(outcome) => self.attempt_finished(outcome),
+            Forwarded::Abandoned => self.client_disconnected(id),
         }
-        let interval_ms = (idle_timeout_ms / REAPS_PER_IDLE_TIMEOUT)
-            .clamp(MIN_REAP_INTERVAL_MS, MAX_REAP_INTERVAL_MS);
-        self.schedule(now_ms + interval_ms, Timer::ReapIdleConnections);
     }
-}
 
-impl GossipHandler for RefCell<Gateway> {
-    fn handle_gossip(&self, from: GatewayId, text: &str) {
-        let text = text.into();
-        self.borrow_mut()
-            .handle_event(Event::GossipReceived { from, text });
+    fn connect_finished(&mut self, dial: Dial, stream: Option<TcpStream>) {
+        let request = dial.attempt.request;
+        if self.forwarder.requests.is_abandoned(request) {
+            self.client_disconnected(request);
+        }
+        let outcome = self.forwarder.connect_finished(dial, stream);
+        self.attempt_finished(outcome);
     }
-}
 
-/// Whether a timer still means anything.
-fn is_pending(timer: &Timer, requests: &RequestTable) -> bool {
-    match timer {
-        Timer::Engine { .. } | Timer::ReapIdleConnections => true,
-        Timer::AttemptDeadline { request, attempt } => requests.has_attempt(*request, *attempt),
-        Timer::AnswerDeadline { request } => requests.awaits_answer(*request),
+    /// Ends an attempt from this side, and closes its connection.
+    fn abort_attempt(&mut self, id: RequestId, result: AttemptResult) {
+        let aborted = self.forwarder.requests.abort_attempt(id, result);
+        self.attempt_finished(aborted);
+    }
+
+    /// The list of endpoints has changed.
+    pub fn endpoints_changed(&mut self, update: &EndpointUpdate) {
+        let change = self.forwarder.endpoints.apply_update(update);
+        let event = self
+            .endpoint_translator
+            .endpoints_changed(update, &change.replaced);
+        self.notify_engine(event);
+        // An endpoint that has restarted never answers what it had before. If its whole machine restarted, the
+        // connection is half open, and would not tell.
+        let requests = &self.forwarder.requests;
+        for id in requests.ids_on_connection_to_any(&change.restarted) {
+            self.abort_attempt(id, AttemptResult::ConnectionReset);
+        }
+    }
+
+    fn schedule(&mut self, expires_at: Instant, timer: Timer) {
+        self.timers
+            .schedule(expires_at, timer, |timer| self.forwarder.is_pending(timer));
+    }
+
+    /// Closes old idle connections, logs malformed responses, and schedules itself.
+    fn reap_idle_connections(&mut self) {
+        let next = self.forwarder.reap_idle_connections();
+        self.schedule(next, Timer::ReapIdleConnections);
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -19,7 +19,7 @@
 //!
 //! # State
 //!
-//! [`event_loop::Gateway`] owns the engine, the requests in flight, the endpoint pool and the timers. Every task
+//! [`event_loop::EventLoop`] owns the engine, the requests in flight, the endpoint pool and the timers. Every task
 //! borrows it for the length of one call and never across an `await`. [`clients::ClientConnections`]
 //! owns the client connections. The discovery task owns the revision of the list and its [`discovery::PollSchedule`].
 //!
@@ -35,6 +35,7 @@
 pub mod configuration;
 pub mod discovery;
 mod endpoints;
+mod engine_time;
 pub mod event_loop;
 pub mod gossip_socket;
 pub mod log;
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -2,7 +2,7 @@
 //!
 //! The platform sends SIGTERM and, after the termination grace period, SIGKILL. The phases below run one after
 //! another; all but the wait for clients and answers are bounded, and those end because the event loop answers each
-//! request by the deadline that [`Gateway::shut_down_within`](super::event_loop::Gateway::shut_down_within) sets.
+//! request by the deadline that [`Gateway::shut_down_within`](super::event_loop::EventLoop::shut_down_within) sets.
 //!
 //! | phase | ends when |
 //! | --- | --- |
@@ -13,7 +13,7 @@
 //! | answer peers | the deadline, or a second signal; at once without peers |
 
 use crate::gateway::clients::{ClientConnections, ClientListener};
-use crate::gateway::event_loop::GatewayHandle;
+use crate::gateway::event_loop::EventLoopHandle;
 use crate::gateway::log::{self, LogEvent};
 use crate::gateway::signals::TerminationSignals;
 use crate::gateway::startup::RunningGateway;
@@ -34,7 +34,7 @@
         .termination_grace
         .mul_f64(TERMINATION_GRACE_FRACTION);
     let deadline = Instant::now() + time_limit;
-    running.gateway.borrow_mut().shut_down_within(time_limit);
+    running.event_loop.borrow_mut().shut_down_within(time_limit);
     accept_for_grace_period(&running).await;
     log::event(&LogEvent::ListenerClosing {
         gateway: &running.name,
@@ -43,7 +43,7 @@
     running.clients.close_soon();
     drain_backlog(&running.client_listener, running.listener, deadline).await;
     drain_clients(&running.clients).await;
-    await_answers(&running.gateway).await;
+    await_answers(&running.event_loop).await;
     if running.has_peers {
         answer_peers(deadline, termination).await;
     }
@@ -70,8 +70,8 @@
 
 /// Waits until no client is owed an answer. Attempts whose clients have disconnected are not waited for, and the
 /// kernel delivers the last bytes to clients.
-async fn await_answers(gateway: &GatewayHandle) {
-    while !gateway.borrow().all_answered() {
+async fn await_answers(event_loop: &EventLoopHandle) {
+    while !event_loop.borrow().all_answered() {
         sleep(ANSWER_POLL_INTERVAL).await;
     }
 }
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -6,7 +6,7 @@
 use crate::gateway::clients::{ClientConnections, ClientListener, RequestSchema};
 use crate::gateway::configuration::Configuration;
 use crate::gateway::discovery::{self, PollSchedule, Tcp};
-use crate::gateway::event_loop::{Gateway, GatewayHandle};
+use crate::gateway::event_loop::{EventLoop, EventLoopHandle, run_timers};
 use crate::gateway::gossip_socket::GossipSocket;
 use crate::gateway::signals::reload_on_hangup;
 use crate::gateway::startup_error::StartupError;
@@ -67,7 +67,7 @@
     pub(super) listener: TcpListener,
     /// How long the platform waits between SIGTERM and SIGKILL.
     pub(super) termination_grace: Duration,
-    pub(super) gateway: GatewayHandle,
+    pub(super) event_loop: EventLoopHandle,
     pub(super) clients: Rc<ClientConnections>,
     pub(super) client_listener: ClientListener,
     /// Whether the gateway answers other gateways.
@@ -91,11 +91,11 @@
             listen_address: sockets.listen_address,
             listener: sockets.listener,
             termination_grace: parts.termination_grace,
-            gateway: parts.gateway.clone(),
+            event_loop: parts.event_loop.clone(),
             clients: parts.clients.clone(),
             client_listener: ClientListener::new(
                 parts.clients.clone(),
-                parts.gateway.clone(),
+                parts.event_loop.clone(),
                 parts.request_schema.clone(),
             ),
             has_peers: parts.gossip.is_some(),
@@ -125,7 +125,7 @@
     gateway_id: GatewayId,
     termination_grace: Duration,
     discovery_address: SocketAddr,
-    gateway: GatewayHandle,
+    event_loop: EventLoopHandle,
     clients: Rc<ClientConnections>,
     request_schema: RequestSchema,
     gossip: Option<GossipSocket>,
@@ -154,30 +154,27 @@
         let poll_schedule = PollSchedule::new(&configuration.document, discovery_seed);
         let max_endpoint_connections =
             configuration.max_descriptors * ENDPOINT_DESCRIPTOR_PERCENT / 100;
-        let gateway = Gateway::new(configuration, gossip.clone(), max_endpoint_connections)?;
+        let event_loop = EventLoop::new(configuration, gossip.clone(), max_endpoint_connections)?;
         // A list without endpoints is none to build on.
         let cached_revision = cached_list
             .as_ref()
             .filter(|list| !list.endpoints.is_empty())
             .map(|list| list.revision);
         if let Some(list) = cached_list {
-            gateway.borrow_mut().endpoints_changed(&list);
+            event_loop.borrow_mut().endpoints_changed(&list);
         }
-        // Set after the cached list, which would count as the first list otherwise.
-        let first_list = Rc::new(Notify::new());
-        gateway.borrow_mut().first_list = first_list.clone();
         Ok(GatewayParts {
             name,
             gateway_id,
             termination_grace,
             discovery_address,
-            gateway,
+            event_loop,
             clients,
             request_schema,
             gossip,
             poll_schedule,
             cached_revision,
-            first_list,
+            first_list: Rc::default(),
         })
     }
 
@@ -185,15 +182,20 @@
     fn start_tasks(self, hangup: Signal) -> BackgroundTasks {
         let mut tasks = BackgroundTasks::default();
         if let Some(gossip) = self.gossip {
-            tasks.start(gossip.listen(self.gateway.clone(), self.gateway_id));
+            tasks.start(gossip.listen(self.event_loop.clone(), self.gateway_id));
         }
-        tasks.start(Gateway::run_timers(self.gateway.clone()));
+        tasks.start(run_timers(self.event_loop.clone()));
         tasks.start(self.clients.run_expiry());
         let (address_sender, discovery_address) = watch::channel(self.discovery_address);
-        let gateway = self.gateway;
+        let event_loop = self.event_loop;
+        let first_list = self.first_list;
+        let on_update = move |update| {
+            event_loop.borrow_mut().endpoints_changed(&update);
+            first_list.notify_one();
+        };
         tasks.start(discovery::follow(
             Tcp,
-            move |update| gateway.borrow_mut().endpoints_changed(&update),
+            on_update,
             discovery_address,
             self.cached_revision,
             self.poll_schedule,
--- a/tests/gateway/client_requests.rs
+++ b/tests/gateway/client_requests.rs
@@ -2,6 +2,7 @@
 
 use crate::client_listener::*;
 use crate::support::*;
+use std::time::Duration;
 
 /// The bytes of an invalid request, and the error in its response.
 type InvalidRequest = (Vec<u8>, &'static str);
@@ -126,7 +127,10 @@
         assert_eq!(request.client_request_id, 0x9b1f_03aa_5c7e_2d41);
         assert_eq!((request.class, request.plan), (2, 0));
         assert_eq!((request.shard_start, request.shard_size), (1, 2));
-        assert_eq!((request.cost, request.wait_ms), (2.5, 700.0));
+        assert_eq!(
+            (request.cost, request.wait),
+            (2.5, Duration::from_millis(700))
+        );
         assert!(request.is_retry);
     });
 }
@@ -138,7 +142,10 @@
         let mut client = listener.connect().await;
         send(&mut client, &request(1)).await;
         listener.handler.wait_for_requests(1).await;
-        assert_eq!(listener.handler.received.borrow()[0].request.wait_ms, 800.0);
+        assert_eq!(
+            listener.handler.received.borrow()[0].request.wait,
+            Duration::from_millis(800)
+        );
     });
 }
 
@@ -157,7 +164,7 @@
         assert_eq!(request.command_len(), sent.len());
         for deadline in [1, 87, 9000, 12_345] {
             let mut out = Vec::new();
-            request.encode_for_endpoint(deadline, &mut out);
+            request.encode_for_endpoint(Duration::from_millis(deadline), &mut out);
             assert_eq!(out, encoded(deadline));
         }
     });
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -5,7 +5,7 @@
 use marlshelf::gateway::discovery::{
     self, Connect, EndpointUpdate, Frame, FrameDecoder, FrameError, PollSchedule, Tcp,
 };
-use marlshelf::gateway::event_loop::Gateway;
+use marlshelf::gateway::event_loop::EventLoop;
 use serde_json::json;
 use std::cell::RefCell;
 use std::io::{self, ErrorKind};
@@ -155,7 +155,7 @@
     let address = listener.local_addr().expect("bound");
     let configuration = test_configuration(address);
     let schedule = PollSchedule::new(&configuration.document, 7);
-    let gateway = Gateway::new(configuration, None, 8).expect("valid settings");
+    let gateway = EventLoop::new(configuration, None, 8).expect("valid settings");
     let (address_sender, address) = watch::channel(address);
     let on_update = move |update| gateway.borrow_mut().endpoints_changed(&update);
     spawn_local(discovery::follow(Tcp, on_update, address, None, schedule));
--- a/tests/gateway/gateway.rs
+++ b/tests/gateway/gateway.rs
@@ -4,7 +4,7 @@
 use marlshelf::EndpointState;
 use marlshelf::gateway::clients::{ClientConnections, ClientListener, RequestSchema};
 use marlshelf::gateway::discovery::{EndpointUpdate, ListedEndpoint};
-use marlshelf::gateway::event_loop::{Connector, Gateway, GatewayHandle};
+use marlshelf::gateway::event_loop::{Connector, EventLoop, EventLoopHandle, run_timers};
 use marlshelf::gateway::resp;
 use socket2::SockRef;
 use std::net::{Shutdown, SocketAddr};
@@ -39,7 +39,7 @@
     }
 }
 
-fn list_snapshot(gateway: &GatewayHandle, endpoints: Vec<ListedEndpoint>) {
+fn list_snapshot(gateway: &EventLoopHandle, endpoints: Vec<ListedEndpoint>) {
     gateway.borrow_mut().endpoints_changed(&EndpointUpdate {
         revision: 1,
         snapshot: true,
@@ -47,7 +47,7 @@
     });
 }
 
-fn list_change(gateway: &GatewayHandle, revision: u64, endpoint: ListedEndpoint) {
+fn list_change(gateway: &EventLoopHandle, revision: u64, endpoint: ListedEndpoint) {
     gateway.borrow_mut().endpoints_changed(&EndpointUpdate {
         revision,
         snapshot: false,
@@ -63,12 +63,12 @@
 
 /// A gateway that knows one endpoint, with an idle connection to it that takes little at once, and the endpoint's
 /// side of that connection.
-async fn gateway_with_slow_connection(listener: &TcpListener) -> (GatewayHandle, TcpStream) {
+async fn gateway_with_slow_connection(listener: &TcpListener) -> (EventLoopHandle, TcpStream) {
     SockRef::from(listener)
         .set_recv_buffer_size(SMALL_SOCKET_BUFFER)
         .expect("a socket");
     let address = listener.local_addr().expect("bound");
-    let gateway = Gateway::new(test_configuration(address), None, 8).expect("valid settings");
+    let gateway = EventLoop::new(test_configuration(address), None, 8).expect("valid settings");
     list_snapshot(&gateway, vec![ready_endpoint("s-1", address)]);
     let stream = TcpStream::connect(address).await.expect("connected");
     SockRef::from(&stream)
@@ -81,13 +81,13 @@
 
 /// A client that has sent a request of this class with a body of this length, and the table of clients it is in.
 async fn client_with_request(
-    gateway: &GatewayHandle,
+    gateway: &EventLoopHandle,
     class: &str,
     body_length: usize,
 ) -> (Rc<ClientConnections>, TcpStream) {
     let (socket, address) = bind_any().await;
     let clients = ClientConnections::new(8, 1 << 20);
-    let schema = RequestSchema::new(&gateway.borrow().document);
+    let schema = RequestSchema::new(&test_configuration(address).document);
     let listener = ClientListener::new(clients.clone(), gateway.clone(), schema);
     tokio::task::spawn_local(async move { listener.accept(&socket).await });
     let mut client = TcpStream::connect(address).await.expect("connected");
@@ -245,7 +245,7 @@
         let (slow, slow_address) = bind_any().await;
         let (quick, quick_address) = bind_any().await;
         let gateway =
-            Gateway::new(test_configuration(slow_address), None, 8).expect("valid settings");
+            EventLoop::new(test_configuration(slow_address), None, 8).expect("valid settings");
         let (open_gate, gate) = watch::channel(false);
         let (connector, _connects) = gated_connector(&gate, Some(slow_address));
         gateway.borrow_mut().set_connector(connector);
@@ -254,7 +254,7 @@
         list_snapshot(&gateway, vec![slow_endpoint, quick_endpoint.clone()]);
         let draining = in_state(&quick_endpoint, EndpointState::Draining);
         list_change(&gateway, 2, draining);
-        tokio::task::spawn_local(Gateway::run_timers(gateway.clone()));
+        tokio::task::spawn_local(run_timers(gateway.clone()));
         let (_clients, mut client) = client_with_request(&gateway, "pay", 4).await;
         while gateway.borrow().active_requests() == 0 {
             yield_now().await;
