--- a/examples/decision_digest/clients.rs
+++ b/examples/decision_digest/clients.rs
@@ -85,7 +85,7 @@
             tenants,
             gateway_count,
             class_count: scenario.settings.classes.len(),
-            max_cost: scenario.settings.max_request_cost.max(1.0),
+            max_cost: scenario.settings.max_request_cost.as_f64().max(1.0),
             traffic: traffic.clone(),
         }
     }
--- a/examples/decision_digest/digest.rs
+++ b/examples/decision_digest/digest.rs
@@ -3,7 +3,7 @@
 //! The hash reads values only, in a fixed order and with tags of its own, so that it does not
 //! depend on the name of any type or field of the library.
 
-use marlshelf::{Action, GatewayId, RequestId, TimerToken};
+use marlshelf::{Action, GatewayId, Milliseconds, RequestId, TimerToken, Timestamp};
 
 /// The initial value of FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -44,7 +44,7 @@
             Action::Forward {
                 request: RequestId(id),
                 endpoint,
-                deadline_ms,
+                deadline: Timestamp(deadline_ms),
             } => {
                 self.tag(1);
                 self.integer(*id);
@@ -53,7 +53,7 @@
             }
             Action::Reject {
                 request: RequestId(id),
-                retry_after_ms,
+                retry_after: Milliseconds(retry_after_ms),
             } => {
                 self.tag(2);
                 self.integer(*id);
@@ -75,7 +75,7 @@
             }
             Action::SetTimer {
                 token: TimerToken(token),
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             } => {
                 self.tag(7);
                 self.integer(*token);
--- a/examples/decision_digest/endpoint.rs
+++ b/examples/decision_digest/endpoint.rs
@@ -1,6 +1,9 @@
 //! Simulated endpoints: a few cores, a bounded queue, slow start after a restart, and faults.
 
-use marlshelf::{AttemptResult, Endpoint, EndpointName, EndpointState, LoadReport};
+use marlshelf::{
+    AttemptResult, CellId, Endpoint, EndpointName, EndpointState, HardwareId, LoadReport,
+    Timestamp, ZoneId,
+};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -113,12 +116,12 @@
         SimulatedEndpoint {
             entry: Endpoint {
                 name,
-                zone: number % pool.zones,
-                cell: number % pool.cells,
-                hardware,
+                zone: ZoneId(number % pool.zones),
+                cell: CellId(number % pool.cells),
+                hardware: HardwareId(hardware),
                 weight: pool.weight(number),
                 state: EndpointState::Ready,
-                started_at_ms,
+                started_at: Timestamp(started_at_ms),
             },
             fault: Fault::None,
             slowdown: 1.0,
@@ -131,10 +134,11 @@
 
     /// The share of its full capacity that the endpoint has reached since its last start.
     fn warmth(&self, now_ms: f64, slow_start: SlowStart) -> f64 {
-        if self.entry.started_at_ms <= 0.0 || slow_start.warmup_ms <= 0.0 {
+        if self.entry.started_at.as_f64() <= 0.0 || slow_start.warmup_ms <= 0.0 {
             return 1.0;
         }
-        let progress = ((now_ms - self.entry.started_at_ms) / slow_start.warmup_ms).clamp(0.0, 1.0);
+        let progress =
+            ((now_ms - self.entry.started_at.as_f64()) / slow_start.warmup_ms).clamp(0.0, 1.0);
         slow_start.initial_warmth + (1.0 - slow_start.initial_warmth) * progress
     }
 
@@ -194,7 +198,7 @@
         let utilization = (in_flight / self.core_idle_at_ms.len() as f64).min(1.0);
         LoadReport {
             in_flight: Some(in_flight),
-            utilization: (self.entry.hardware == 0).then_some(utilization),
+            utilization: (self.entry.hardware == HardwareId(0)).then_some(utilization),
             requests_per_second: None,
         }
     }
@@ -202,7 +206,7 @@
     /// Starts the endpoint's process again under the same name.
     pub fn restart(&mut self, now_ms: f64) {
         self.entry.state = EndpointState::Ready;
-        self.entry.started_at_ms = now_ms;
+        self.entry.started_at = Timestamp(now_ms);
         self.fault = Fault::None;
         self.slowdown = 1.0;
         self.completions_ms.clear();
--- a/examples/decision_digest/fleet/attempts.rs
+++ b/examples/decision_digest/fleet/attempts.rs
@@ -4,7 +4,9 @@
 use super::event_queue::FleetEvent;
 use crate::clients::ClientRequest;
 use crate::endpoint::{AttemptEnd, SlowStart};
-use marlshelf::{AttemptOutcome, AttemptResult, EndpointName, Event, RequestId};
+use marlshelf::{
+    AttemptOutcome, AttemptResult, EndpointName, Event, Milliseconds, RequestId, Tokens,
+};
 use rand::Rng;
 
 /// Identifies an attempt.
@@ -71,7 +73,7 @@
         let settings = &self.scenario.settings;
         let slow_start = SlowStart {
             initial_warmth: settings.initial_warmth,
-            warmup_ms: settings.warmup_ms,
+            warmup_ms: settings.warmup_duration.as_f64(),
         };
         let endpoint = &mut self.endpoints[endpoint];
         let served = endpoint.serve(self.now_ms, work_factor, slow_start, &mut self.rng);
@@ -123,10 +125,10 @@
             attempt: id.number,
             endpoint: endpoint.entry.name.clone(),
             result,
-            latency_ms: self.now_ms - attempt.sent_at_ms,
+            latency: Milliseconds(self.now_ms - attempt.sent_at_ms),
             request_ended,
             metered_use: details.has_report.then_some(details.use_factor),
-            actual_cost: details.has_actual_cost.then_some(actual_cost),
+            actual_cost: details.has_actual_cost.then_some(Tokens(actual_cost)),
             load_report: details
                 .has_report
                 .then(|| endpoint.load_report(self.now_ms)),
--- a/examples/decision_digest/fleet/client_requests.rs
+++ b/examples/decision_digest/fleet/client_requests.rs
@@ -4,7 +4,7 @@
 use super::attempts::Attempt;
 use super::event_queue::FleetEvent;
 use crate::clients::ClientRequest;
-use marlshelf::{Event, GatewayId, Request, RequestId};
+use marlshelf::{ClassIndex, Event, GatewayId, PlanIndex, Request, RequestId, Timestamp, Tokens};
 use rand::Rng;
 
 /// The latency objective on which a client's patience depends if its class does not exist.
@@ -45,12 +45,12 @@
         let event = Event::RequestReceived(Request {
             id,
             tenant: shard.tenant,
-            class: request.class,
-            plan: request.plan,
-            cost: request.cost,
+            class: ClassIndex(request.class),
+            plan: PlanIndex(request.plan),
+            cost: Tokens(request.cost),
             shard_start: GatewayId(shard.start),
             shard_size: shard.size,
-            client_deadline_ms,
+            client_deadline: Timestamp(client_deadline_ms),
             is_retry: request.retries > 0,
         });
         let gateway = request.gateway;
@@ -70,7 +70,7 @@
     fn schedule_disconnect(&mut self, id: RequestId, class: usize) -> f64 {
         let class = self.scenario.settings.classes.get(class);
         let objective_ms = class.map_or(DEFAULT_LATENCY_OBJECTIVE_MS, |class| {
-            class.latency_objective_ms
+            class.latency_objective.as_f64()
         });
         let deadline_ms = self.now_ms + objective_ms * self.rng.random_range(0.8..2.5);
         let is_early = self.rng.random::<f64>() < self.scenario.traffic.disconnect_ratio;
--- a/examples/decision_digest/fleet/mod.rs
+++ b/examples/decision_digest/fleet/mod.rs
@@ -16,7 +16,9 @@
 use crate::scenario::Scenario;
 use client_requests::PendingRequest;
 use event_queue::{EventQueue, FleetEvent};
-use marlshelf::{Action, DecisionEngine, Event, GatewayId, RequestId, Settings};
+use marlshelf::{
+    Action, DecisionEngine, Event, GatewayId, Milliseconds, RequestId, Settings, Timestamp, ZoneId,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -96,7 +98,7 @@
         let number = index as u32;
         let settings = Settings {
             gateway: GatewayId(number),
-            zone: number % self.scenario.gateway_zones,
+            zone: ZoneId(number % self.scenario.gateway_zones),
             ..self.scenario.settings.clone()
         };
         let seed = self.seed * 1_000_003 + u64::from(number) * 101 + u64::from(incarnation) * 7919;
@@ -150,7 +152,10 @@
     /// Passes an event to a gateway and executes the actions that the gateway returns.
     fn notify(&mut self, gateway: usize, event: Event) {
         let now_ms = self.now_ms;
-        for action in self.gateways[gateway].engine.handle_event(now_ms, event) {
+        for action in self.gateways[gateway]
+            .engine
+            .handle_event(Timestamp(now_ms), event)
+        {
             self.digest.record(gateway, now_ms, &action);
             self.execute(gateway, action);
         }
@@ -161,15 +166,18 @@
             Action::Forward {
                 request,
                 endpoint,
-                deadline_ms,
+                deadline: Timestamp(deadline_ms),
             } => self.start_attempt(request, &endpoint, deadline_ms),
             Action::Reject {
                 request,
-                retry_after_ms,
+                retry_after: Milliseconds(retry_after_ms),
             } => self.answer_client(request, retry_after_ms),
             Action::Fail { request } => self.answer_client(request, 0.0),
             Action::SendGossip { to, text } => self.deliver_gossip(gateway, to, text),
-            Action::SetTimer { token, delay_ms } => {
+            Action::SetTimer {
+                token,
+                delay: Milliseconds(delay_ms),
+            } => {
                 let incarnation = self.gateways[gateway].incarnation;
                 let lead_ms = self.scenario.max_timer_lead_ms * self.rng.random::<f64>();
                 let timer = FleetEvent::Timer {
--- a/examples/decision_digest/scenario/defaults.rs
+++ b/examples/decision_digest/scenario/defaults.rs
@@ -2,7 +2,10 @@
 
 use super::{GossipNetwork, Incident, PlannedIncident, Scenario, Traffic};
 use crate::endpoint::{EndpointPool, Fault};
-use marlshelf::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings};
+use marlshelf::{
+    DeduplicationScope, Idempotency, Milliseconds, Plan, RequestClass, Settings, Tokens,
+    TokensPerSecond,
+};
 
 /// Request classes of every idempotency.
 fn classes() -> Vec<RequestClass> {
@@ -10,10 +13,10 @@
         |priority_weight, latency_objective_ms, late_answer_weight, idempotency, window_ms| {
             RequestClass {
                 priority_weight,
-                latency_objective_ms,
+                latency_objective: Milliseconds(latency_objective_ms),
                 late_answer_weight,
                 idempotency,
-                deduplication_window_ms: window_ms,
+                deduplication_window: Milliseconds(window_ms),
             }
         };
     vec![
@@ -47,16 +50,16 @@
 /// their rates and bursts.
 pub fn plans(scale: f64) -> Vec<Plan> {
     let plan = |refill_rate: f64, burst: f64, weight, over_quota_penalty| Plan {
-        refill_rate: refill_rate * scale,
-        burst: burst * scale,
+        refill_rate: TokensPerSecond(refill_rate * scale),
+        burst: Tokens(burst * scale),
         weight,
         over_quota_penalty,
         ..Plan::default()
     };
     let with_hard_limit = |plan: Plan, rate: f64, burst: f64, slack| Plan {
-        hard_limit_rate: rate * scale,
-        hard_limit_burst: burst * scale,
-        hard_limit_slack: slack,
+        hard_limit_rate: TokensPerSecond(rate * scale),
+        hard_limit_burst: Tokens(burst * scale),
+        hard_limit_slack: Tokens(slack),
         ..plan
     };
     let with_concurrency = |max_concurrency, plan: Plan| Plan {
@@ -127,10 +130,10 @@
             plans: plans(plan_scale),
             max_attempts: 3,
             gossip_enabled: true,
-            max_request_cost: 6.0,
+            max_request_cost: Tokens(6.0),
             gossip_intake_per_second: 60.0,
             initial_warmth: 0.2,
-            warmup_ms: 8000.0,
+            warmup_duration: Milliseconds(8000.0),
             warmup_overload_multiple: 4.0,
             ..Settings::default()
         },
--- a/examples/decision_digest/scenario/small_fleets.rs
+++ b/examples/decision_digest/scenario/small_fleets.rs
@@ -3,6 +3,7 @@
 use super::defaults::{base, endpoint_faults, plans};
 use super::{IdlePeriod, Incident, PlannedIncident, Scenario, Surge};
 use crate::endpoint::Fault;
+use marlshelf::{Milliseconds, Tokens};
 
 /// All scenarios of small fleets, in the order of the output.
 pub fn all() -> Vec<Scenario> {
@@ -66,7 +67,7 @@
 fn three_without_gossip() -> Scenario {
     let mut scenario = base("three-without-notes", 3, 1.0);
     scenario.settings.gossip_enabled = false;
-    scenario.settings.max_request_cost = 0.0;
+    scenario.settings.max_request_cost = Tokens(0.0);
     scenario.incidents = vec![PlannedIncident::at(5000.0, Incident::Restart(3))];
     scenario
 }
@@ -149,7 +150,7 @@
 fn three_long_requests() -> Scenario {
     let mut scenario = base("three-long-requests", 3, 1.0);
     for class in &mut scenario.settings.classes {
-        class.latency_objective_ms = 200_000.0;
+        class.latency_objective = Milliseconds(200_000.0);
         class.late_answer_weight = 0.5;
     }
     scenario.endpoints.service_time_ms = 40_000.0;
--- a/src/bin/marlshelf-simulator-adapter/instances.rs
+++ b/src/bin/marlshelf-simulator-adapter/instances.rs
@@ -4,6 +4,7 @@
 use crate::frames::{InstanceName, StartInstance};
 use crate::translation::{self, InstanceEvent};
 use marlshelf::DecisionEngine;
+use marlshelf::Timestamp;
 use std::collections::HashMap;
 
 /// The instances that have been started and not yet stopped.
@@ -51,7 +52,7 @@
         let Some(engine) = self.engines.get_mut(&instance) else {
             return Err(FrameError::UnknownInstance(instance));
         };
-        for action in engine.handle_event(now_ms, event) {
+        for action in engine.handle_event(Timestamp(now_ms), event) {
             translation::reply(&instance, &action).append_to(output)?;
         }
         Ok(())
--- a/src/bin/marlshelf-simulator-adapter/translation.rs
+++ b/src/bin/marlshelf-simulator-adapter/translation.rs
@@ -7,8 +7,9 @@
 };
 use crate::replies::Reply;
 use marlshelf::{
-    Action, AttemptOutcome, AttemptResult, Endpoint, EndpointListKind, EndpointState, Event,
-    GatewayId, LoadReport, Request, RequestId, TimerToken,
+    Action, AttemptOutcome, AttemptResult, CellId, ClassIndex, Endpoint, EndpointListKind,
+    EndpointState, Event, GatewayId, HardwareId, LoadReport, Milliseconds, PlanIndex, Request,
+    RequestId, TimerToken, Timestamp, Tokens, ZoneId,
 };
 
 /// An event of one instance.
@@ -30,12 +31,12 @@
     fn from(entry: &EndpointEntry) -> Endpoint {
         Endpoint {
             name: entry.endpoint.clone(),
-            zone: entry.zone,
-            cell: entry.cell,
-            hardware: entry.hardware,
+            zone: ZoneId(entry.zone),
+            cell: CellId(entry.cell),
+            hardware: HardwareId(entry.hardware),
             weight: entry.weight,
             state: entry.state.into(),
-            started_at_ms: entry.started_at_ms,
+            started_at: Timestamp(entry.started_at_ms),
         }
     }
 }
@@ -55,13 +56,13 @@
         let event = Event::RequestReceived(Request {
             id: RequestId(frame.request),
             tenant: frame.tenant.unwrap_or_else(|| "".into()),
-            class: frame.class,
-            plan: frame.plan,
-            cost: frame.cost,
+            class: ClassIndex(frame.class),
+            plan: PlanIndex(frame.plan),
+            cost: Tokens(frame.cost),
             // The wire has these whole numbers as floats. The conversion saturates.
             shard_start: GatewayId(frame.shard_start as u32),
             shard_size: frame.shard_size as u32,
-            client_deadline_ms: frame.client_deadline_ms,
+            client_deadline: Timestamp(frame.client_deadline_ms),
             is_retry: frame.flags & RETRY_FLAG != 0,
         });
         InstanceEvent {
@@ -78,10 +79,10 @@
             attempt: frame.attempt,
             endpoint: frame.endpoint,
             result: frame.status.into(),
-            latency_ms: frame.latency_ms,
+            latency: Milliseconds(frame.latency_ms),
             request_ended: frame.request_ended,
             metered_use: metered_use(frame.metered_use_code),
-            actual_cost: (frame.actual_cost > 0.0).then_some(frame.actual_cost),
+            actual_cost: (frame.actual_cost > 0.0).then_some(Tokens(frame.actual_cost)),
             load_report: frame.load_report.map(LoadReport::from),
         });
         InstanceEvent {
@@ -179,7 +180,7 @@
         Action::Forward {
             request,
             endpoint,
-            deadline_ms,
+            deadline: Timestamp(deadline_ms),
         } => Reply::Forward {
             instance,
             request: request.0,
@@ -188,7 +189,7 @@
         },
         Action::Reject {
             request,
-            retry_after_ms,
+            retry_after: Milliseconds(retry_after_ms),
         } => Reply::Reject {
             instance,
             request: request.0,
@@ -203,7 +204,10 @@
             to: to.0,
             text,
         },
-        Action::SetTimer { token, delay_ms } => Reply::SetTimer {
+        Action::SetTimer {
+            token,
+            delay: Milliseconds(delay_ms),
+        } => Reply::SetTimer {
             instance,
             token: token.0,
             delay_ms: *delay_ms,
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -42,7 +42,7 @@
     fn plan_lease(&mut self, pending: &PendingRequest) -> Option<LeasePlan> {
         let settings = self.settings.clone();
         let terms = ClientTerms::new(&settings, pending, self.endpoints.mean_latency_ms(), self.now_ms);
-        plan_lease(&mut self.tenant(pending.account).client, pending.request.cost, &terms)
+        plan_lease(&mut self.tenant(pending.account).client, pending.request.cost.0, &terms)
     }
 
     fn quota_request(&self, pending: &PendingRequest, needs_permit: bool) -> QuotaRequest {
@@ -81,7 +81,7 @@
 
     /// Waits for the owner's response: half of the time for the first request, half for the one sent again.
     fn await_response(&mut self, mut pending: PendingRequest) {
-        let objective_ms = self.settings.classes[pending.request.class].latency_objective_ms;
+        let objective_ms = self.settings.class(pending.request.class).latency_objective.0;
         let half_of_wait_ms = (pending.waits_until_ms - self.now_ms) / 2.0;
         let silence_ms = (OWNER_SILENCE_FRACTION * objective_ms).min(half_of_wait_ms);
         let first_wait_ms = if self.settings.gossip_enabled { silence_ms / 2.0 } else { 0.0 };
@@ -95,8 +95,8 @@
     /// half of it.
     pub(super) fn wait_limit_ms(&self, pending: &PendingRequest) -> f64 {
         let request = &pending.request;
-        let objective_ms = self.settings.classes[request.class].latency_objective_ms;
-        let client_waits_ms = (request.client_deadline_ms - pending.arrived_at_ms).max(0.0);
+        let objective_ms = self.settings.class(request.class).latency_objective.0;
+        let client_waits_ms = (request.client_deadline.0 - pending.arrived_at_ms).max(0.0);
         pending.arrived_at_ms + (PERMIT_WAIT_FRACTION * objective_ms).min(client_waits_ms / 2.0)
     }
 
@@ -144,14 +144,14 @@
             return false;
         }
         let gateways = f64::from(request.shard_size.max(1));
-        let permits = f64::from(self.settings.plans[account.plan].max_concurrency) / gateways;
+        let permits = f64::from(self.settings.plan(account.plan).max_concurrency) / gateways;
         let tenant = self.tenants.get_mut(&account.tenant);
-        tenant.is_some_and(|tenant| passes_unconfirmed(&mut tenant.client, request.cost, permits, draw))
+        tenant.is_some_and(|tenant| passes_unconfirmed(&mut tenant.client, request.cost.0, permits, draw))
     }
 
     fn record_unconfirmed_usage(&mut self, pending: &PendingRequest) {
-        let penalty = self.settings.plans[pending.account.plan].over_quota_penalty.min(1.0);
-        let cost = pending.request.cost * penalty;
+        let penalty = self.settings.plan(pending.account.plan).over_quota_penalty.min(1.0);
+        let cost = pending.request.cost.0 * penalty;
         if self.settings.gossip_enabled && cost > 0.0 {
             self.unconfirmed_usage.add(pending.account, pending.quota_request, cost);
         }
@@ -166,7 +166,7 @@
 
     fn return_lease(&mut self, pending: &PendingRequest) {
         let AccountId { tenant, owner, .. } = pending.account;
-        self.return_unused(tenant, owner, pending.request.cost, pending.authorization.permit());
+        self.return_unused(tenant, owner, pending.request.cost.0, pending.authorization.permit());
     }
 
     /// Forwards a request that its quota covers, once this gateway's own permits, the hard limit, the load
@@ -178,7 +178,7 @@
         }
         // Only now, as other requests of the tenant may have been forwarded while this one waited.
         let covers =
-            tenant.is_some_and(|tenant| tenant.client.hard_limit_allotment() >= pending.request.cost);
+            tenant.is_some_and(|tenant| tenant.client.hard_limit_allotment() >= pending.request.cost.0);
         let over_hard_limit = self.uses_hard_limit_allotment(&pending) && !covers;
         let endpoint = if over_hard_limit { None } else { self.first_endpoint(&pending) };
         match endpoint {
@@ -204,7 +204,7 @@
     /// Whether a request counts against this gateway's own part of a hard limit.
     fn uses_hard_limit_allotment(&self, pending: &PendingRequest) -> bool {
         let leased = self.settings.gossip_enabled && pending.authorization.covers_cost();
-        self.settings.plans[pending.account.plan].hard_limit_rate > 0.0 && !leased
+        self.settings.plan(pending.account.plan).hard_limit_rate.0 > 0.0 && !leased
     }
 
     fn first_endpoint(&mut self, pending: &PendingRequest) -> Option<EndpointName> {
@@ -233,10 +233,10 @@
     fn forward_first(&mut self, pending: PendingRequest, endpoint: &EndpointName) {
         let uses_allotment = self.uses_hard_limit_allotment(&pending);
         if let Some(tenant) = self.tenants.get_mut(&pending.account.tenant) {
-            tenant.client.charge_hard_limit(if uses_allotment { pending.request.cost } else { 0.0 });
+            tenant.client.charge_hard_limit(if uses_allotment { pending.request.cost.0 } else { 0.0 });
             tenant.client.permits.acquire();
         }
-        let limits_concurrency = self.settings.plans[pending.account.plan].max_concurrency > 0;
+        let limits_concurrency = self.settings.plan(pending.account.plan).max_concurrency > 0;
         if limits_concurrency && pending.authorization.permit() == Some(pending.quota_request) {
             self.set_renewal_timer(pending.quota_request);
         }
@@ -248,8 +248,8 @@
     /// Rejects a request. Where the tokens that it needs will not be there within its latency objective, as
     /// far as is known here, the client gets a Retry-After; for less, its own backoff serves better.
     pub(super) fn reject(&mut self, request: &Request) {
-        let class = self.settings.classes.get(request.class);
-        let objective_ms = class.map_or(0.0, |class| class.latency_objective_ms);
+        let class = self.settings.classes.get(request.class.0);
+        let objective_ms = class.map_or(0.0, |class| class.latency_objective.0);
         let refill_ms = self.tokens_available_in_ms(request).unwrap_or(0.0);
         let retry_after_ms = if refill_ms > objective_ms { refill_ms.ceil() } else { 0.0 };
         self.actions.reject(request.id, retry_after_ms);
@@ -257,9 +257,9 @@
 
     fn tokens_available_in_ms(&self, request: &Request) -> Option<f64> {
         let tenant = self.tenants.get(&TenantKey::new(&request.tenant, request.plan))?;
-        let refill_rate = self.settings.plans[tenant.plan].refill_rate;
+        let refill_rate = self.settings.plan(tenant.plan).refill_rate.0;
         let known = tenant.known_tokens();
-        let missing = 1000.0 * (request.cost - known.tokens);
+        let missing = 1000.0 * (request.cost.0 - known.tokens);
         (refill_rate > 0.0).then(|| missing / refill_rate + known.as_of_ms - self.now_ms)
     }
 }
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -12,12 +12,12 @@
         let Some(request) = self.requests.in_flight_mut(id) else { return };
         request.attempts += 1;
         let admitted = &request.admitted;
-        let class = &self.settings.classes[admitted.request.class];
+        let class = &self.settings.class(admitted.request.class);
         // A late answer that earns nothing is not waited for, and its absence is not taken for load.
         let late_answer_earns = class.late_answer_weight > 0.0;
-        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
+        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective.0;
         let useful_until_ms = if late_answer_earns { f64::INFINITY } else { objective_at_ms };
-        let deadline_ms = admitted.request.client_deadline_ms.min(useful_until_ms);
+        let deadline_ms = admitted.request.client_deadline.0.min(useful_until_ms);
         self.endpoints.attempt_started(id, admitted.request.class, endpoint, self.now_ms);
         self.actions.forward(id, endpoint.clone(), deadline_ms);
     }
@@ -37,8 +37,8 @@
     /// Whether the latency objective of a request is not over yet.
     fn is_in_time(&self, id: RequestId) -> bool {
         self.requests.in_flight(id).is_some_and(|InFlightRequest { admitted, .. }| {
-            let class = &self.settings.classes[admitted.request.class];
-            admitted.age_ms(self.now_ms) <= class.latency_objective_ms
+            let class = &self.settings.class(admitted.request.class);
+            admitted.age_ms(self.now_ms) <= class.latency_objective.0
         })
     }
 
@@ -77,7 +77,7 @@
 
     fn settle_actual_cost(&mut self, outcome: &AttemptOutcome) {
         let Some(InFlightRequest { admitted, .. }) = self.requests.in_flight(outcome.request) else { return };
-        let difference = outcome.actual_cost.map_or(0.0, |actual| actual - admitted.request.cost);
+        let difference = outcome.actual_cost.map_or(0.0, |actual| actual.0 - admitted.request.cost.0);
         self.settle_usage(admitted.account, difference, None);
     }
 
@@ -85,17 +85,17 @@
     fn retry_endpoint(&mut self, outcome: &AttemptOutcome) -> Option<EndpointName> {
         let request = self.requests.in_flight(outcome.request)?;
         let admitted = &request.admitted;
-        let class = &self.settings.classes[admitted.request.class];
+        let class = &self.settings.class(admitted.request.class);
         let scope = retry_scope(class, request.first_execution, self.now_ms)?;
         let max_attempts = self.settings.max_attempts;
         let exhausted = max_attempts > 0 && request.attempts >= max_attempts;
         if exhausted || self.retry_budget.saved() < 1.0 || !is_retryable(outcome.result) {
             return None;
         }
-        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
+        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective.0;
         let selection = Selection {
             class: admitted.request.class,
-            max_latency_ms: objective_at_ms.min(admitted.request.client_deadline_ms) - self.now_ms,
+            max_latency_ms: objective_at_ms.min(admitted.request.client_deadline.0) - self.now_ms,
             scope,
             avoid: Some(&outcome.endpoint),
         };
@@ -105,7 +105,7 @@
     /// The final answer to a request whose attempts have failed.
     fn answer_failed_request(&mut self, request: &InFlightRequest) {
         let admitted = &request.admitted.request;
-        let class = &self.settings.classes[admitted.class];
+        let class = &self.settings.class(admitted.class);
         if request.first_execution.is_none() || client_may_repeat(class) {
             self.reject(admitted);
         } else {
@@ -124,7 +124,7 @@
             if let Some(next) = self.requests.take_next_for_permit(account.tenant) {
                 self.admit(next);
             }
-        } else if authorization.permit().is_some() && self.settings.plans[account.plan].max_concurrency > 0 {
+        } else if authorization.permit().is_some() && self.settings.plan(account.plan).max_concurrency > 0 {
             self.hand_on_permit(&request.admitted);
         }
         Some(request)
@@ -137,7 +137,7 @@
         let Some(next) = self.requests.take_next(finished.account.tenant) else {
             return self.settle_usage(finished.account, 0.0, permit);
         };
-        self.settle_usage(next.account, next.request.cost, None);
+        self.settle_usage(next.account, next.request.cost.0, None);
         let authorization = permit.map_or(Authorization::Unconfirmed, Authorization::InheritedPermit);
         self.admit(PendingRequest { authorization, ..next });
     }
--- a/src/decisions/endpoint_selection.rs
+++ b/src/decisions/endpoint_selection.rs
@@ -3,6 +3,7 @@
 use super::endpoint_estimation::MAX_SIMILAR_PEERS;
 use super::subset::preferred_arc;
 use crate::endpoint_model::{Candidate, EndpointModel, EndpointRecord, Estimator};
+use crate::events::ClassIndex;
 use crate::events::EndpointName;
 use crate::records::RetryScope;
 use crate::settings::Settings;
@@ -24,7 +25,7 @@
 /// What an attempt needs.
 #[derive(Debug)]
 pub(super) struct Selection<'a> {
-    pub class: usize,
+    pub class: ClassIndex,
     /// An endpoint that is expected to take longer has no capacity for the attempt.
     pub max_latency_ms: f64,
     pub scope: RetryScope,
@@ -106,10 +107,10 @@
 }
 
 /// The expected latency, and for excess failures a part of the latency objective.
-fn cost_ms(endpoint: &EndpointRecord, expected_ms: f64, class: usize, estimator: &Estimator) -> f64 {
+fn cost_ms(endpoint: &EndpointRecord, expected_ms: f64, class: ClassIndex, estimator: &Estimator) -> f64 {
     let settings = &estimator.context.settings;
     let zone_factor = if endpoint.zone == settings.zone { 1.0 } else { OTHER_ZONE_FACTOR };
-    let objective_ms = settings.classes[class].latency_objective_ms;
+    let objective_ms = settings.class(class).latency_objective.0;
     expected_ms * zone_factor + estimator.excess_failure_rate(endpoint) * objective_ms
 }
 
--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -4,6 +4,8 @@
 //! 1)), counted over a sliding window ("Handling Overload" in the SRE book, adaptive throttling). A tier
 //! counts the failures of all higher tiers as its own, so that the lowest tier is shed first.
 
+use crate::events::ClassIndex;
+use crate::events::PlanIndex;
 use crate::records::PriorityTier;
 use crate::settings::Settings;
 use crate::statistics::{RatioBands, SlidingWindow, WindowShape};
@@ -49,9 +51,9 @@
     }
 
     /// The tier of a class and plan, if the settings have both.
-    pub(super) fn tier_of(&self, class: usize, plan: usize) -> Option<PriorityTier> {
-        let class = self.settings.classes.get(class)?;
-        let plan = self.settings.plans.get(plan)?;
+    pub(super) fn tier_of(&self, class: ClassIndex, plan: PlanIndex) -> Option<PriorityTier> {
+        let class = self.settings.classes.get(class.0)?;
+        let plan = self.settings.plans.get(plan.0)?;
         Some(PriorityTier(self.tiers.band_of(class.priority_weight * plan.weight)))
     }
 
--- a/src/decisions/quota_client.rs
+++ b/src/decisions/quota_client.rs
@@ -51,7 +51,7 @@
         let decay = exponential_decay(terms.now_ms - at_ms, OWNER_STATE_DECAY_MS);
         (state.demand * decay, state.granted)
     });
-    let mut sustainable = if plan.refill_rate > 0.0 { plan.refill_rate } else { f64::INFINITY };
+    let mut sustainable = if plan.refill_rate.0 > 0.0 { plan.refill_rate.0 } else { f64::INFINITY };
     if needs_permit {
         let permits = f64::from(plan.max_concurrency);
         sustainable = sustainable.min(permits * cost * 1000.0 / terms.mean_latency_ms.max(1.0));
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -4,6 +4,7 @@
 use super::quota_client::keep_unused;
 use super::{Decisions, fleet_scale, quota_owner};
 use crate::events::GatewayId;
+use crate::events::PlanIndex;
 use crate::gossip::{
     GossipMessage, OwnerState, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey,
 };
@@ -29,7 +30,7 @@
     /// The tenant, which counts as seen now. A new one starts with a random part of the credit for polling
     /// the owner, so that the gateways of a shard do not poll together.
     pub(super) fn tenant(&mut self, account: AccountId) -> &mut Tenant {
-        let (plan, now_ms) = (&self.settings.plans[account.plan], self.now_ms);
+        let (plan, now_ms) = (&self.settings.plan(account.plan), self.now_ms);
         let poll_credit = self.rng.random::<f64>();
         self.tenants.touch(account.tenant, now_ms, || Tenant {
             plan: account.plan,
@@ -38,11 +39,14 @@
         })
     }
 
-    fn owner_terms(&self, plan: usize) -> OwnerTerms {
-        let plan = self.settings.plans[plan].clone();
+    fn owner_terms(&self, plan: PlanIndex) -> OwnerTerms {
+        let plan = self.settings.plan(plan).clone();
         let penalty = plan.over_quota_penalty.min(1.0);
         OwnerTerms {
-            reserve: BUCKET_RESERVE * fleet_scale(&self.settings) * self.settings.max_request_cost * penalty,
+            reserve: BUCKET_RESERVE
+                * fleet_scale(&self.settings)
+                * self.settings.max_request_cost.0
+                * penalty,
             mean_latency_ms: self.endpoints.mean_latency_ms(),
             gossip_enabled: self.settings.gossip_enabled,
             now_ms: self.now_ms,
@@ -55,7 +59,7 @@
     pub(crate) fn owned(&mut self, account: AccountId) -> &mut OwnerLedger {
         let (settings, lease_ms, now_ms) = (self.settings.clone(), self.permit_lease_ms(), self.now_ms);
         let tenant = self.tenant(account);
-        tenant.owner.advance(&settings.plans[tenant.plan], &quota_owner::LEDGER, lease_ms, now_ms);
+        tenant.owner.advance(settings.plan(tenant.plan), &quota_owner::LEDGER, lease_ms, now_ms);
         &mut tenant.owner
     }
 
@@ -78,7 +82,7 @@
         self.serve_owned_queue(account);
         let mut terms = self.owner_terms(account.plan);
         let Some(tenant) = self.tenants.get_mut(&account.tenant) else { return QuotaDecision::Denied };
-        terms.plan = self.settings.plans[tenant.plan].clone();
+        terms.plan = self.settings.plan(tenant.plan).clone();
         quota_owner::decide(&mut tenant.owner, request, demand, &terms)
     }
 
@@ -99,14 +103,14 @@
     }
 
     pub(crate) fn settle_owned(&mut self, account: AccountId, cost: f64, permit: Option<PermitId>) {
-        let plan = self.settings.plans[account.plan].clone();
+        let plan = self.settings.plan(account.plan).clone();
         self.owned(account).settle(cost, permit, &plan);
         self.serve_owned_queue(account);
     }
 
     pub(crate) fn renew_owned(&mut self, account: AccountId, permit: PermitId) {
         if let Some(tenant) = self.tenants.get_mut(&account.tenant) {
-            let permits = self.settings.plans[tenant.plan].max_concurrency as usize;
+            let permits = self.settings.plan(tenant.plan).max_concurrency as usize;
             let capacity = quota_owner::MAX_RENEWED_PERMIT_MULTIPLE * permits;
             tenant.owner.renew_permit(permit, capacity, self.now_ms);
         }
@@ -126,7 +130,7 @@
             let permit = permit.map(|request| PermitId { gateway: owner, request });
             return self.settle_owned(account, cost, permit);
         }
-        if permit.is_some() || (cost != 0.0 && self.settings.plans[plan].refill_rate > 0.0) {
+        if permit.is_some() || (cost != 0.0 && self.settings.plan(plan).refill_rate.0 > 0.0) {
             let delay_ms = if permit.is_some() { 0.0 } else { SETTLEMENT_DELAY_MS };
             self.actions.send_to_owner(account, &GossipMessage::SettleUsage { plan, cost, permit }, delay_ms);
         }
@@ -155,7 +159,7 @@
 
     /// Whether the gateways of a tenant's shard share the permits of its plan.
     pub(super) fn shares_permits(&self, account: AccountId) -> bool {
-        self.settings.plans[account.plan].max_concurrency > 0 && !self.tenants.has_local_permits(account)
+        self.settings.plan(account.plan).max_concurrency > 0 && !self.tenants.has_local_permits(account)
     }
 
     pub(crate) fn on_owner_state(&mut self, tenant: TenantKey, state: OwnerState) {
@@ -176,7 +180,7 @@
             (Some(pending), QuotaDecision::Granted { cost }) => {
                 // A grant that is repeated names no tokens.
                 if cost > 0.0 {
-                    self.return_unused(tenant, owner, cost - pending.request.cost, None);
+                    self.return_unused(tenant, owner, cost - pending.request.cost.0, None);
                 }
                 self.admit(PendingRequest { authorization: Authorization::Granted(request), ..pending });
             }
--- a/src/decisions/quota_owner.rs
+++ b/src/decisions/quota_owner.rs
@@ -35,7 +35,7 @@
         return QuotaDecision::Queued;
     }
     ledger.record_demand(demand, &LEDGER);
-    let hard_limit_applies = terms.plan.hard_limit_rate > 0.0 && terms.gossip_enabled;
+    let hard_limit_applies = terms.plan.hard_limit_rate.0 > 0.0 && terms.gossip_enabled;
     let leasable = if hard_limit_applies { ledger.leasable() } else { f64::INFINITY };
     if leasable < request.cost || !bucket_covers(ledger, request.cost, terms) {
         return QuotaDecision::Denied;
@@ -71,7 +71,7 @@
         && let Some(request) = ledger.dequeue()
     {
         let cost = request.cost;
-        let over_hard_limit = terms.plan.hard_limit_rate > 0.0 && ledger.leasable() < cost;
+        let over_hard_limit = terms.plan.hard_limit_rate.0 > 0.0 && ledger.leasable() < cost;
         if over_hard_limit || !bucket_covers(ledger, cost, terms) {
             decisions.push((request, QuotaDecision::Denied));
             continue;
@@ -84,7 +84,7 @@
 
 fn bucket_covers(ledger: &OwnerLedger, cost: f64, terms: &OwnerTerms) -> bool {
     let plan = &terms.plan;
-    plan.refill_rate <= 0.0 || ledger.tokens() >= (cost + terms.reserve).min(plan.burst)
+    plan.refill_rate.0 <= 0.0 || ledger.tokens() >= (cost + terms.reserve).min(plan.burst.0)
 }
 
 fn permit_is_free(ledger: &OwnerLedger, plan: &Plan) -> bool {
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -16,7 +16,7 @@
     now_ms: f64,
 ) -> Option<RetryScope> {
     let Some(first) = first else { return Some(RetryScope::Anywhere) };
-    let in_window = now_ms - first.sent_at_ms < class.deduplication_window_ms;
+    let in_window = now_ms - first.sent_at_ms < class.deduplication_window.0;
     match class.idempotency {
         Idempotency::Idempotent => Some(RetryScope::Anywhere),
         Idempotency::Keyed(scope) if in_window => Some(RetryScope::Within(scope, first)),
--- a/src/endpoint_model/estimates.rs
+++ b/src/endpoint_model/estimates.rs
@@ -2,6 +2,7 @@
 
 use super::parameters::ModelContext;
 use super::records::{EndpointRecord, FleetEstimates};
+use crate::events::ClassIndex;
 use crate::statistics::{AgingReport, exponential_decay, geometric_step};
 
 /// Estimates as of one moment.
@@ -16,10 +17,10 @@
     /// The minimum fraction of its capacity that an endpoint has by now.
     pub fn warmth(&self, endpoint: &EndpointRecord) -> f64 {
         let settings = &self.context.settings;
-        if endpoint.started_at_ms <= 0.0 || settings.warmup_ms <= 0.0 {
+        if endpoint.started_at_ms <= 0.0 || settings.warmup_duration.0 <= 0.0 {
             return 1.0;
         }
-        let progress = (self.now_ms - endpoint.started_at_ms) / settings.warmup_ms;
+        let progress = (self.now_ms - endpoint.started_at_ms) / settings.warmup_duration.0;
         settings.initial_warmth + (1.0 - settings.initial_warmth) * progress.clamp(0.0, 1.0)
     }
 
@@ -87,8 +88,8 @@
     }
 
     /// The time that an answer should take from this endpoint.
-    pub fn latency_ms(&self, endpoint: &EndpointRecord, class: usize) -> f64 {
-        let class_time = self.fleet.class_service_time_ms[class];
+    pub fn latency_ms(&self, endpoint: &EndpointRecord, class: ClassIndex) -> f64 {
+        let class_time = self.fleet.class_service_time_ms[class.0];
         let class_factor = match self.fleet.service_time_ms {
             Some(mean) if class_time > 0.0 && mean > 0.0 => class_time / mean,
             _ => 1.0,
--- a/src/endpoint_model/learning.rs
+++ b/src/endpoint_model/learning.rs
@@ -3,13 +3,14 @@
 use super::estimates::Estimator;
 use super::parameters::ModelContext;
 use super::records::{AttemptInFlight, EndpointRecord, FleetEstimates};
+use crate::events::ClassIndex;
 use crate::events::{AttemptOutcome, AttemptResult};
 use crate::statistics::{AgingReport, arithmetic_step, geometric_step};
 
 /// The mean latency to assume before there are answers.
 pub(super) fn initial_mean_latency_ms(context: &ModelContext) -> f64 {
     let classes = context.settings.classes.iter();
-    let objectives = classes.map(|class| class.latency_objective_ms);
+    let objectives = classes.map(|class| class.latency_objective.0);
     context.parameters.initial_latency_fraction * objectives.fold(f64::INFINITY, f64::min)
 }
 
@@ -63,9 +64,10 @@
         }
         self.learn_failure(is_failure(outcome.result));
         if tells_latency(outcome.result) {
-            self.learn_mean_latency(outcome.latency_ms);
+            self.learn_mean_latency(outcome.latency.0);
             let latency_ms = outcome
-                .latency_ms
+                .latency
+                .0
                 .max(self.context.parameters.min_latency_ms);
             let service_time_ms = latency_ms / self.context.slowdown(attempt.load_at_start);
             self.learn_service_time(service_time_ms, attempt.class);
@@ -113,7 +115,7 @@
         self.fleet.mean_latency_ms = arithmetic_step(mean_ms, latency_ms, weight);
     }
 
-    fn learn_service_time(&mut self, observed_ms: f64, class: usize) {
+    fn learn_service_time(&mut self, observed_ms: f64, class: ClassIndex) {
         let fleet_smoothing = self.context.parameters.fleet_smoothing;
         let fleet_weight = fleet_smoothing.max(1.0 / self.fleet.answers);
         let fleet_ms = self.fleet.service_time_ms.unwrap_or(observed_ms);
@@ -131,8 +133,14 @@
     }
 
     /// Learns of a class, and tells how many times the fleet's average its requests took until now.
-    fn learn_class(&mut self, observed_ms: f64, class: usize, fleet_ms: f64, weight: f64) -> f64 {
-        let class_ms = &mut self.fleet.class_service_time_ms[class];
+    fn learn_class(
+        &mut self,
+        observed_ms: f64,
+        class: ClassIndex,
+        fleet_ms: f64,
+        weight: f64,
+    ) -> f64 {
+        let class_ms = &mut self.fleet.class_service_time_ms[class.0];
         if *class_ms <= 0.0 {
             *class_ms = observed_ms;
             return 1.0;
@@ -147,7 +155,7 @@
         observed_ms: f64,
         of_average_class_ms: f64,
         class_factor: f64,
-        class: usize,
+        class: ClassIndex,
     ) {
         let prior_ms = if self.prior.service_time_ms > 0.0 {
             self.prior.service_time_ms
@@ -155,7 +163,7 @@
             observed_ms
         };
         let parameters = &self.context.parameters;
-        let objective_ms = self.context.settings.classes[class].latency_objective_ms;
+        let objective_ms = self.context.settings.class(class).latency_objective.0;
         let weight = if prior_ms * class_factor > parameters.capacity_fraction * objective_ms {
             parameters.rare_smoothing
         } else {
--- a/src/endpoint_model/mod.rs
+++ b/src/endpoint_model/mod.rs
@@ -9,6 +9,7 @@
 mod parameters;
 mod records;
 
+use crate::events::ClassIndex;
 use crate::events::{
     AttemptOutcome, Endpoint, EndpointListKind, EndpointName, EndpointState, RequestId,
 };
@@ -67,8 +68,8 @@
     }
 
     /// The part of a class's latency objective within which an endpoint has capacity for a first attempt.
-    pub(crate) fn acceptable_latency_ms(&self, class: usize) -> f64 {
-        let objective_ms = self.context.settings.classes[class].latency_objective_ms;
+    pub(crate) fn acceptable_latency_ms(&self, class: ClassIndex) -> f64 {
+        let objective_ms = self.context.settings.class(class).latency_objective.0;
         self.context.parameters.capacity_fraction * objective_ms
     }
 
@@ -102,15 +103,15 @@
     fn apply_listed(&mut self, listed: Endpoint, now_ms: f64) {
         let entry = self.endpoints.entry(listed.name);
         let endpoint = entry.or_insert_with(|| EndpointRecord {
-            started_at_ms: listed.started_at_ms,
+            started_at_ms: listed.started_at.0,
             last_attempt_at_ms: now_ms,
             hardware: listed.hardware,
             ..EndpointRecord::default()
         });
-        if listed.started_at_ms > endpoint.started_at_ms {
+        if listed.started_at.0 > endpoint.started_at_ms {
             endpoint.forget_incarnation();
         }
-        endpoint.started_at_ms = listed.started_at_ms;
+        endpoint.started_at_ms = listed.started_at.0;
         endpoint.state = listed.state;
         endpoint.weight = if listed.weight.is_finite() {
             listed.weight.max(self.context.parameters.min_weight)
@@ -128,7 +129,7 @@
     pub(crate) fn attempt_started(
         &mut self,
         request: RequestId,
-        class: usize,
+        class: ClassIndex,
         endpoint: &EndpointName,
         now_ms: f64,
     ) {
--- a/src/endpoint_model/records.rs
+++ b/src/endpoint_model/records.rs
@@ -1,6 +1,10 @@
 //! Records of endpoints and of the whole fleet of endpoints. They only store: estimates and learning are in the
 //! modules beside this one.
 
+use crate::events::CellId;
+use crate::events::ClassIndex;
+use crate::events::HardwareId;
+use crate::events::ZoneId;
 use crate::events::{EndpointState, RequestId};
 use crate::statistics::{AgingReport, DecayingValue, TimeAveragedGauge};
 use std::collections::BTreeMap;
@@ -8,7 +12,7 @@
 /// An attempt that this gateway has in flight at an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptInFlight {
-    pub class: usize,
+    pub class: ClassIndex,
     pub sent_at_ms: f64,
     /// The requests estimated to be in flight at the endpoint, from all gateways, when the attempt
     /// started.
@@ -18,12 +22,12 @@
 /// What is known of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointRecord {
-    pub zone: u32,
-    pub cell: u32,
+    pub zone: ZoneId,
+    pub cell: CellId,
     /// Its registered weight, positive and finite.
     pub weight: f64,
     pub state: EndpointState,
-    pub hardware: u32,
+    pub hardware: HardwareId,
     /// When its present incarnation started; 0 means long ago.
     pub started_at_ms: f64,
     /// This gateway's attempts there.
@@ -86,7 +90,7 @@
     /// hardware.
     pub service_time_ms: Option<f64>,
     pub class_service_time_ms: Vec<f64>,
-    pub hardware_service_time_ms: BTreeMap<u32, f64>,
+    pub hardware_service_time_ms: BTreeMap<HardwareId, f64>,
     pub failure_rate: f64,
     /// This gateway's attempts in flight at all endpoints.
     pub in_flight: usize,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -5,6 +5,7 @@
 use crate::gossip::{GossipMessage, PermitId, TenantKey, decode};
 use crate::records::{AccountId, TimerPurpose};
 use crate::settings::{Settings, SettingsError};
+use crate::units::Timestamp;
 use std::sync::Arc;
 
 /// The decisions of one gateway, driven by events. It does no input or output and reads no clock.
@@ -30,10 +31,10 @@
         })
     }
 
-    /// Takes in one event, at this time in milliseconds, and returns what is to be done, in that order. The time
+    /// Takes in one event, at this time, and returns what is to be done, in that order. The time
     /// never runs backwards: an earlier one than that of the last event counts as the same.
-    pub fn handle_event(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
-        self.now_ms = self.now_ms.max(now_ms);
+    pub fn handle_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
+        self.now_ms = self.now_ms.max(now.as_f64());
         self.decisions.set_time(self.now_ms);
         match event {
             Event::EndpointsChanged { kind, endpoints } => {
@@ -73,7 +74,7 @@
     }
 
     fn on_message_to_owner(&mut self, from: GatewayId, tenant: TenantKey, message: GossipMessage) {
-        let Some(plan) = message.plan().filter(|plan| *plan < self.plan_count) else {
+        let Some(plan) = message.plan().filter(|plan| plan.0 < self.plan_count) else {
             return;
         };
         let account = AccountId {
--- a/src/events.rs
+++ b/src/events.rs
@@ -4,8 +4,10 @@
 //! order. It reports the end of each attempt that an [`Action::Forward`] started as an [`Event::AttemptFinished`], and
 //! the end of each delay that an [`Action::SetTimer`] asked for as an [`Event::TimerFired`].
 //!
-//! All points in time are milliseconds on the caller's clock, which has no particular origin and only moves forward.
+//! All points in time are on the caller's clock, which has no particular origin and only moves forward.
 
+use crate::units::{Milliseconds, Timestamp, Tokens};
+use derive_more::Display;
 use std::sync::Arc;
 
 /// The name of an endpoint. Only the equality and the order of names are used.
@@ -22,6 +24,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GatewayId(pub u32);
 
+/// The position of a request class in [`Settings::classes`](crate::Settings::classes).
+#[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct ClassIndex(pub usize);
+
+/// The position of a plan in [`Settings::plans`](crate::Settings::plans).
+#[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct PlanIndex(pub usize);
+
+/// The number of a zone.
+#[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct ZoneId(pub u32);
+
+/// The number of a cell, a group of endpoints within a zone.
+#[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct CellId(pub u32);
+
+/// The number of a hardware model. Endpoints of one model are expected to be equally fast.
+#[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
+pub struct HardwareId(pub u32);
+
 /// A value that the engine chooses for a timer and gets back when the timer fires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
@@ -44,17 +66,17 @@
     /// The name that identifies the endpoint.
     pub name: EndpointName,
     /// The number of its zone.
-    pub zone: u32,
-    /// The number of its cell, a group of endpoints within a zone.
-    pub cell: u32,
-    /// The number of its hardware model. Endpoints of one model are expected to be equally fast.
-    pub hardware: u32,
+    pub zone: ZoneId,
+    /// The number of its cell.
+    pub cell: CellId,
+    /// The number of its hardware model.
+    pub hardware: HardwareId,
     /// Its registered size, relative to the sizes of other endpoints.
     pub weight: f64,
     /// What the list says about it.
     pub state: EndpointState,
-    /// When it last started, in milliseconds on the caller's clock; 0 means long ago.
-    pub started_at_ms: f64,
+    /// When it last started; 0 means long ago.
+    pub started_at: Timestamp,
 }
 
 /// Which endpoints an [`Event::EndpointsChanged`] contains.
@@ -73,19 +95,19 @@
     pub id: RequestId,
     /// The tenant whose quota the request counts against.
     pub tenant: TenantName,
-    /// The index of its class in [`Settings::classes`](crate::Settings::classes).
-    pub class: usize,
-    /// The index of the tenant's plan in [`Settings::plans`](crate::Settings::plans).
-    pub plan: usize,
-    /// Its cost, in quota tokens. It may be an estimate: see [`AttemptOutcome::actual_cost`].
-    pub cost: f64,
+    /// Its class.
+    pub class: ClassIndex,
+    /// The tenant's plan.
+    pub plan: PlanIndex,
+    /// Its cost. It may be an estimate: see [`AttemptOutcome::actual_cost`].
+    pub cost: Tokens,
     /// The first gateway of the tenant's shard, which is the set of gateways that receive the tenant's requests.
     pub shard_start: GatewayId,
     /// The number of gateways in the shard. They follow the first one in numerical order, and gateway 0 follows the
     /// last gateway of the fleet.
     pub shard_size: u32,
-    /// When the client stops waiting for an answer, in milliseconds on the caller's clock.
-    pub client_deadline_ms: f64,
+    /// When the client stops waiting for an answer.
+    pub client_deadline: Timestamp,
     /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
 }
@@ -133,15 +155,15 @@
     pub endpoint: EndpointName,
     /// How the attempt ended.
     pub result: AttemptResult,
-    /// How long the attempt took, in milliseconds.
-    pub latency_ms: f64,
+    /// How long the attempt took.
+    pub latency: Milliseconds,
     /// Whether the request has ended as well, so that no answer is owed any more.
     pub request_ended: bool,
     /// The tenant's metered use over all gateways, as a fraction of its refill rate, or of its concurrency limit if it
     /// has no rate. The engine does not read it at present.
     pub metered_use: Option<f64>,
-    /// The actual cost in quota tokens, if the cost of the request was an estimate.
-    pub actual_cost: Option<f64>,
+    /// The actual cost, if the cost of the request was an estimate.
+    pub actual_cost: Option<Tokens>,
     /// The load report that came with the answer.
     pub load_report: Option<LoadReport>,
 }
@@ -197,15 +219,15 @@
         request: RequestId,
         /// The endpoint to forward it to.
         endpoint: EndpointName,
-        /// When to abandon the attempt, in milliseconds on the caller's clock.
-        deadline_ms: f64,
+        /// When to abandon the attempt.
+        deadline: Timestamp,
     },
     /// Answer the request with a rejection, which is final and tells the client that a retry is safe.
     Reject {
         /// The request to answer.
         request: RequestId,
-        /// How long the client should wait before it retries, in milliseconds; 0 gives no advice.
-        retry_after_ms: f64,
+        /// How long the client should wait before it retries; 0 gives no advice.
+        retry_after: Milliseconds,
     },
     /// Answer the request with a failure, which is final and does not tell whether the request has executed.
     Fail {
@@ -223,7 +245,7 @@
     SetTimer {
         /// The token to report.
         token: TimerToken,
-        /// The delay from now, in milliseconds.
-        delay_ms: f64,
+        /// The delay from now.
+        delay: Milliseconds,
     },
 }
--- a/src/gateway/clients/fields.rs
+++ b/src/gateway/clients/fields.rs
@@ -2,6 +2,7 @@
 
 use super::request_error::{Field, RequestError};
 use super::schema::RequestSchema;
+use crate::{ClassIndex, PlanIndex, Tokens};
 use std::ops::Range;
 
 /// The longest deadline that a client may set, in milliseconds.
@@ -17,10 +18,10 @@
 /// The fields that have been read so far. Fields with other names are ignored.
 #[derive(Debug, Default)]
 pub(super) struct RequestFields {
-    class: Option<usize>,
-    plan: Option<usize>,
+    class: Option<ClassIndex>,
+    plan: Option<PlanIndex>,
     deadline: Option<Deadline>,
-    cost: Option<f64>,
+    cost: Option<Tokens>,
     shard_start: Option<u32>,
     shard_size: Option<u32>,
     /// Whether an idempotency key is given.
@@ -93,12 +94,12 @@
     }
 
     /// The index of the class.
-    pub(super) fn class(&self) -> Result<usize, RequestError> {
+    pub(super) fn class(&self) -> Result<ClassIndex, RequestError> {
         required(self.class, Field::Class)
     }
 
     /// The index of the plan.
-    pub(super) fn plan(&self) -> Result<usize, RequestError> {
+    pub(super) fn plan(&self) -> Result<PlanIndex, RequestError> {
         required(self.plan, Field::Plan)
     }
 
@@ -108,7 +109,7 @@
     }
 
     /// The cost in tokens.
-    pub(super) fn cost(&self) -> Result<f64, RequestError> {
+    pub(super) fn cost(&self) -> Result<Tokens, RequestError> {
         required(self.cost, Field::Cost)
     }
 
@@ -143,9 +144,9 @@
         .then_some(Deadline { ms, digits })
 }
 
-fn parse_cost(value: &str, max_cost: f64) -> Option<f64> {
-    let cost: f64 = value.parse().ok()?;
-    (cost > 0.0 && cost <= max_cost).then_some(cost)
+fn parse_cost(value: &str, max_cost: Tokens) -> Option<Tokens> {
+    let cost = Tokens(value.parse().ok()?);
+    (cost > Tokens::ZERO && cost <= max_cost).then_some(cost)
 }
 
 /// Parses a number of digits alone: the standard parser would also accept a plus sign.
--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -4,7 +4,7 @@
 use super::request_error::{Field, RequestError};
 use super::schema::RequestSchema;
 use crate::gateway::resp::{self, Command};
-use crate::{EndpointName, IdempotencyDocument};
+use crate::{ClassIndex, EndpointName, IdempotencyDocument, PlanIndex, Tokens};
 use std::ops::Range;
 
 /// The command for requests of idempotent classes.
@@ -40,11 +40,11 @@
     /// The id that the client chose. It is unique among the active requests only.
     pub client_request_id: u64,
     /// The index of the class in the settings.
-    pub class: usize,
+    pub class: ClassIndex,
     /// The index of the tenant's plan in the settings.
-    pub plan: usize,
+    pub plan: PlanIndex,
     /// The cost in tokens.
-    pub cost: f64,
+    pub cost: Tokens,
     /// The first gateway of the tenant's shard.
     pub shard_start: u32,
     /// The number of gateways in the tenant's shard.
--- a/src/gateway/clients/schema.rs
+++ b/src/gateway/clients/schema.rs
@@ -1,6 +1,6 @@
 //! What a request is validated against.
 
-use crate::{IdempotencyDocument, SettingsDocument};
+use crate::{ClassIndex, IdempotencyDocument, PlanIndex, SettingsDocument, Tokens};
 
 /// The names and limits that the settings define for requests. Classes and plans are known by their index.
 #[derive(Debug, Clone)]
@@ -8,7 +8,7 @@
     classes: Vec<ClassSchema>,
     plan_names: Vec<String>,
     gateway_count: u32,
-    max_cost: f64,
+    max_cost: Tokens,
 }
 
 /// What the settings define for the requests of a class.
@@ -42,18 +42,24 @@
     }
 
     /// The index of a class.
-    pub(super) fn class_index(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|class| class.name == name)
+    pub(super) fn class_index(&self, name: &str) -> Option<ClassIndex> {
+        self.classes
+            .iter()
+            .position(|class| class.name == name)
+            .map(ClassIndex)
     }
 
     /// A class by its index.
-    pub(super) fn class(&self, index: usize) -> &ClassSchema {
-        &self.classes[index]
+    pub(super) fn class(&self, index: ClassIndex) -> &ClassSchema {
+        &self.classes[index.0]
     }
 
     /// The index of a plan.
-    pub(super) fn plan_index(&self, name: &str) -> Option<usize> {
-        self.plan_names.iter().position(|plan| plan == name)
+    pub(super) fn plan_index(&self, name: &str) -> Option<PlanIndex> {
+        self.plan_names
+            .iter()
+            .position(|plan| plan == name)
+            .map(PlanIndex)
     }
 
     /// The number of gateways in the fleet.
@@ -62,7 +68,7 @@
     }
 
     /// The largest cost that a request may have, in tokens.
-    pub(super) fn max_cost(&self) -> f64 {
+    pub(super) fn max_cost(&self) -> Tokens {
         self.max_cost
     }
 }
--- a/src/gateway/event_loop/actions.rs
+++ b/src/gateway/event_loop/actions.rs
@@ -3,7 +3,7 @@
 use crate::gateway::event_loop::Gateway;
 use crate::gateway::event_loop::timers::Timer;
 use crate::gateway::resp;
-use crate::{Action, RequestId};
+use crate::{Action, Milliseconds, RequestId};
 
 /// The final answer to a request that failed. It does not say whether the request was executed.
 pub(super) const FAILED_ANSWER: &[u8] = b"-ERR failed\r\n";
@@ -15,20 +15,20 @@
             Action::Forward {
                 request,
                 endpoint,
-                deadline_ms,
-            } => self.start_attempt(request, endpoint, deadline_ms, now_ms),
+                deadline,
+            } => self.start_attempt(request, endpoint, deadline.as_f64(), now_ms),
             Action::Reject {
                 request,
-                retry_after_ms,
-            } => self.answer(request, &rejection(retry_after_ms)),
+                retry_after,
+            } => self.answer(request, &rejection(retry_after)),
             Action::Fail { request } => self.answer(request, FAILED_ANSWER),
             Action::SendGossip { to, text } => {
                 if let Some(gossip) = &self.gossip {
                     gossip.send(to, &text);
                 }
             }
-            Action::SetTimer { token, delay_ms } => {
-                self.schedule(now_ms + delay_ms, Timer::Engine { token });
+            Action::SetTimer { token, delay } => {
+                self.schedule(now_ms + delay.as_f64(), Timer::Engine { token });
             }
         }
     }
@@ -44,8 +44,9 @@
 
 /// The final answer to a rejected request, with the time after which a retry is useful if that is a millisecond or
 /// more.
-fn rejection(retry_after_ms: f64) -> Vec<u8> {
+fn rejection(retry_after: Milliseconds) -> Vec<u8> {
     let mut line = b"-BUSY".to_vec();
+    let retry_after_ms = retry_after.as_f64();
     if retry_after_ms >= 1.0 {
         line.push(b' ');
         resp::put_digits(&mut line, retry_after_ms as u64);
--- a/src/gateway/event_loop/active_request.rs
+++ b/src/gateway/event_loop/active_request.rs
@@ -2,7 +2,9 @@
 
 use crate::gateway::clients::{ClientConnection, ClientRequest};
 use crate::gateway::endpoints::{ConnectionState, EndpointConnection};
-use crate::{EndpointName, GatewayId, Idempotency, Request, RequestClass, RequestId};
+use crate::{
+    ClassIndex, EndpointName, GatewayId, Idempotency, Request, RequestClass, RequestId, Timestamp,
+};
 use std::rc::Rc;
 
 /// A request in flight: until its final answer, and beyond it while an attempt is still running.
@@ -70,7 +72,7 @@
             cost: client_request.cost,
             shard_start: GatewayId(client_request.shard_start),
             shard_size: client_request.shard_size,
-            client_deadline_ms,
+            client_deadline: Timestamp(client_deadline_ms),
             is_retry: client_request.is_retry,
         }
     }
@@ -91,7 +93,7 @@
     }
 
     /// The index of the request's class in the settings.
-    pub fn class(&self) -> usize {
+    pub fn class(&self) -> ClassIndex {
         self.client_request.class
     }
 
@@ -184,7 +186,8 @@
         if !matches!(class.idempotency, Idempotency::Keyed(_)) {
             return true;
         }
-        self.first_executed_at_ms
-            .is_none_or(|executed_at_ms| now_ms - executed_at_ms < class.deduplication_window_ms)
+        self.first_executed_at_ms.is_none_or(|executed_at_ms| {
+            now_ms - executed_at_ms < class.deduplication_window.as_f64()
+        })
     }
 }
--- a/src/gateway/event_loop/attempts.rs
+++ b/src/gateway/event_loop/attempts.rs
@@ -4,7 +4,9 @@
 use crate::gateway::event_loop::active_request::{ActiveRequest, AttemptPhase};
 use crate::gateway::event_loop::timers::Timer;
 use crate::gateway::event_loop::{Gateway, REUSE_REST_MS};
-use crate::{AttemptOutcome, AttemptResult, EndpointName, Event, LoadReport, RequestId};
+use crate::{
+    AttemptOutcome, AttemptResult, EndpointName, Event, LoadReport, Milliseconds, RequestId, Tokens,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +37,7 @@
 pub(super) struct ResponseReports {
     pub load_report: Option<LoadReport>,
     /// The actual cost in tokens.
-    pub actual_cost: Option<f64>,
+    pub actual_cost: Option<Tokens>,
 }
 
 impl Gateway {
@@ -168,7 +170,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return false;
         };
-        let class = &self.settings.classes[request.class()];
+        let class = self.settings.class(request.class());
         let may_repeat = request.is_within_deduplication_window(class, now_ms);
         let Some(attempt) = request.attempt() else {
             return false;
@@ -247,7 +249,7 @@
             attempt: attempt.number,
             endpoint: attempt.endpoint,
             result,
-            latency_ms: (now_ms - attempt.started_at_ms).max(0.0),
+            latency: Milliseconds((now_ms - attempt.started_at_ms).max(0.0)),
             request_ended: !request.awaits_answer(),
             metered_use: None,
             actual_cost: reports.actual_cost,
--- a/src/gateway/event_loop/endpoint_events.rs
+++ b/src/gateway/event_loop/endpoint_events.rs
@@ -9,7 +9,8 @@
 use crate::gateway::event_loop::attempts::ResponseReports;
 use crate::gateway::log::{self, Event as LogEvent};
 use crate::{
-    AttemptResult, Endpoint, EndpointListKind, EndpointName, EndpointState, Event, SettingsDocument,
+    AttemptResult, CellId, Endpoint, EndpointListKind, EndpointName, EndpointState, Event,
+    HardwareId, SettingsDocument, Timestamp, Tokens, ZoneId,
 };
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -119,7 +120,9 @@
                 let largest_cost = self.settings.largest_request_cost();
                 let reports = ResponseReports {
                     load_report,
-                    actual_cost: actual_cost.filter(|cost| *cost > 0.0 && *cost <= largest_cost),
+                    actual_cost: actual_cost
+                        .map(Tokens)
+                        .filter(|cost| *cost > Tokens::ZERO && *cost <= largest_cost),
                 };
                 (AttemptResult::Success, reports)
             }
@@ -182,24 +185,24 @@
 fn engine_endpoint(listed: &ListedEndpoint, document: &SettingsDocument) -> Endpoint {
     Endpoint {
         name: listed.name.as_str().into(),
-        zone: index_of(&document.zones, &listed.zone),
-        cell: listed.cell,
-        hardware: index_of(&document.hardware_kinds, &listed.hardware),
+        zone: ZoneId(index_of(&document.zones, &listed.zone)),
+        cell: CellId(listed.cell),
+        hardware: HardwareId(index_of(&document.hardware_kinds, &listed.hardware)),
         weight: listed.weight,
         state: listed.state,
-        started_at_ms: listed.started_at_ms,
+        started_at: Timestamp(listed.started_at_ms),
     }
 }
 
 fn removed_endpoint(name: &EndpointName) -> Endpoint {
     Endpoint {
         name: name.clone(),
-        zone: 0,
-        cell: 0,
-        hardware: 0,
+        zone: ZoneId(0),
+        cell: CellId(0),
+        hardware: HardwareId(0),
         weight: 1.0,
         state: EndpointState::Removed,
-        started_at_ms: 0.0,
+        started_at: Timestamp::ZERO,
     }
 }
 
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -27,7 +27,7 @@
 use crate::gateway::log;
 use crate::{
     AttemptResult, DecisionEngine, Event, GatewayId, RequestId, Settings, SettingsDocument,
-    SettingsError,
+    SettingsError, Timestamp,
 };
 use clock::Clock;
 use endpoint_events::MalformedResponses;
@@ -187,7 +187,7 @@
         self.is_handling_event = true;
         while let Some(event) = self.pending_events.pop_front() {
             let now_ms = self.clock.now_ms();
-            for action in self.engine.handle_event(now_ms, event) {
+            for action in self.engine.handle_event(Timestamp(now_ms), event) {
                 self.execute(action, now_ms);
             }
         }
--- a/src/gossip/codec.rs
+++ b/src/gossip/codec.rs
@@ -2,6 +2,7 @@
 
 use super::{GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey};
 use crate::events::GatewayId;
+use crate::events::PlanIndex;
 
 /// Figures of this size or larger are taken for damage.
 const FIGURE_LIMIT: f64 = 1e9;
@@ -44,7 +45,7 @@
 
 fn encode_request(
     key: u64,
-    plan: usize,
+    plan: PlanIndex,
     request: &QuotaRequest,
     demand: f64,
     now_ms: f64,
@@ -100,19 +101,19 @@
     // The plan, but in a response the decision.
     let code: usize = fields.0.get(2)?.parse().ok()?;
     let message = match fields.0[0] {
-        kind @ ("a" | "p") => decode_request(&fields, kind == "p", code, from, now_ms)?,
+        kind @ ("a" | "p") => decode_request(&fields, kind == "p", PlanIndex(code), from, now_ms)?,
         "t" => GossipMessage::SettleUsage {
-            plan: code,
+            plan: PlanIndex(code),
             cost: fields.figure(4)?,
             permit: fields.request_id(3),
         },
         "u" => GossipMessage::ReportUnconfirmedUsage {
-            plan: code,
+            plan: PlanIndex(code),
             last_request: fields.request_id(3)?,
             cost: fields.amount(4)?,
         },
         "k" => GossipMessage::RenewPermit {
-            plan: code,
+            plan: PlanIndex(code),
             permit: fields.request_id(3)?,
         },
         "g" => decode_response(&fields, code)?,
@@ -124,7 +125,7 @@
 fn decode_request(
     fields: &Fields,
     needs_permit: bool,
-    plan: usize,
+    plan: PlanIndex,
     gateway: GatewayId,
     now_ms: f64,
 ) -> Option<GossipMessage> {
--- a/src/gossip/messages.rs
+++ b/src/gossip/messages.rs
@@ -1,6 +1,7 @@
 //! The typed messages that gateways exchange about the quota of a tenant.
 
 use crate::events::GatewayId;
+use crate::events::PlanIndex;
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
@@ -15,12 +16,12 @@
 
 impl TenantKey {
     /// The key of a tenant on a plan.
-    pub(crate) fn new(name: &str, plan: usize) -> TenantKey {
+    pub(crate) fn new(name: &str, plan: PlanIndex) -> TenantKey {
         let mut hasher = FnvHasher::default();
         hasher.write(name.as_bytes());
         let hash = hasher.finish();
         let name_part = (hash ^ (hash >> NAME_BITS)) & NAME_MASK;
-        TenantKey(name_part | (plan as u64) << NAME_BITS)
+        TenantKey(name_part | (plan.0 as u64) << NAME_BITS)
     }
 
     /// Which gateway of a shard of this size, counted from its start, owns the quotas of the tenant. The name
@@ -94,24 +95,27 @@
 pub(crate) enum GossipMessage {
     /// To the owner: a quota request, and the demand in tokens since the last one.
     RequestQuota {
-        plan: usize,
+        plan: PlanIndex,
         request: QuotaRequest,
         demand: f64,
     },
     /// To the owner: tokens to charge, or below zero to return, and a permit to release.
     SettleUsage {
-        plan: usize,
+        plan: PlanIndex,
         cost: f64,
         permit: Option<QuotaRequestId>,
     },
     /// To the owner: tokens used while it was not heard from, and the last request among them.
     ReportUnconfirmedUsage {
-        plan: usize,
+        plan: PlanIndex,
         last_request: QuotaRequestId,
         cost: f64,
     },
     /// To the owner: the permit is still in use.
-    RenewPermit { plan: usize, permit: QuotaRequestId },
+    RenewPermit {
+        plan: PlanIndex,
+        permit: QuotaRequestId,
+    },
     /// From the owner: its decision on a request.
     QuotaResponse {
         request: QuotaRequestId,
@@ -122,7 +126,7 @@
 
 impl GossipMessage {
     /// The plan of a message to the owner; `None` for its response.
-    pub(crate) fn plan(&self) -> Option<usize> {
+    pub(crate) fn plan(&self) -> Option<PlanIndex> {
         match *self {
             GossipMessage::RequestQuota { plan, .. }
             | GossipMessage::SettleUsage { plan, .. }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,45 +8,46 @@
 //!
 //! ```
 //! use marlshelf::{
-//!     Action, DecisionEngine, Endpoint, EndpointListKind, EndpointState, Event, GatewayId, Idempotency, Plan,
-//!     Request, RequestClass, RequestId, Settings,
+//!     Action, CellId, ClassIndex, DecisionEngine, Endpoint, EndpointListKind, EndpointState, Event, GatewayId,
+//!     HardwareId, Idempotency, Milliseconds, Plan, PlanIndex, Request, RequestClass, RequestId, Settings, Timestamp,
+//!     Tokens, TokensPerSecond, ZoneId,
 //! };
 //!
 //! let settings = Settings {
 //!     gateway_count: 1,
 //!     classes: vec![RequestClass {
 //!         idempotency: Idempotency::Idempotent,
-//!         latency_objective_ms: 500.0,
+//!         latency_objective: Milliseconds(500.0),
 //!         priority_weight: 1.0,
 //!         ..RequestClass::default()
 //!     }],
-//!     plans: vec![Plan { refill_rate: 10.0, burst: 20.0, weight: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan { refill_rate: TokensPerSecond(10.0), burst: Tokens(20.0), weight: 1.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
 //! let mut engine = DecisionEngine::new(settings, 7)?;
 //! let endpoint = Endpoint {
 //!     name: "endpoint-1".into(),
-//!     zone: 0,
-//!     cell: 0,
-//!     hardware: 0,
+//!     zone: ZoneId(0),
+//!     cell: CellId(0),
+//!     hardware: HardwareId(0),
 //!     weight: 1.0,
 //!     state: EndpointState::Ready,
-//!     started_at_ms: 0.0,
+//!     started_at: Timestamp(0.0),
 //! };
 //! let list = Event::EndpointsChanged { kind: EndpointListKind::Snapshot, endpoints: vec![endpoint] };
-//! engine.handle_event(0.0, list);
+//! engine.handle_event(Timestamp(0.0), list);
 //! let request = Request {
 //!     id: RequestId(1),
 //!     tenant: "acme".into(),
-//!     class: 0,
-//!     plan: 0,
-//!     cost: 1.0,
+//!     class: ClassIndex(0),
+//!     plan: PlanIndex(0),
+//!     cost: Tokens(1.0),
 //!     shard_start: GatewayId(0),
 //!     shard_size: 1,
-//!     client_deadline_ms: 1000.0,
+//!     client_deadline: Timestamp(1000.0),
 //!     is_retry: false,
 //! };
-//! let actions = engine.handle_event(1.0, Event::RequestReceived(request));
+//! let actions = engine.handle_event(Timestamp(1.0), Event::RequestReceived(request));
 //! assert!(actions.iter().any(|action| matches!(action, Action::Forward { request: RequestId(1), .. })));
 //! # Ok::<(), marlshelf::SettingsError>(())
 //! ```
@@ -65,15 +66,10 @@
 mod gossip;
 mod records;
 mod settings;
-mod settings_document;
 pub mod statistics;
 mod units;
 
 pub use engine::DecisionEngine;
 pub use events::*;
 pub use settings::*;
-pub use settings_document::{
-    ClassDocument, DiscoveryMode, IdempotencyDocument, LimitsDocument, PlanDocument, RulesDocument,
-    SettingsDocument,
-};
 pub use units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
--- a/src/records/action_sink.rs
+++ b/src/records/action_sink.rs
@@ -4,6 +4,7 @@
 use super::gossip_outbox::{GossipOutbox, OutboxLimits};
 use crate::events::{Action, EndpointName, GatewayId, RequestId, TimerToken};
 use crate::gossip::{GossipMessage, QuotaRequestId, TenantKey, encode};
+use crate::units::{Milliseconds, Timestamp};
 
 /// The token of the gossip timer. Those above it are the numbers of quota requests, counted on from it.
 const GOSSIP_TIMER: TimerToken = TimerToken(1);
@@ -54,7 +55,7 @@
         self.actions.push(Action::Forward {
             request,
             endpoint,
-            deadline_ms,
+            deadline: Timestamp(deadline_ms),
         });
     }
 
@@ -62,7 +63,7 @@
     pub(crate) fn reject(&mut self, request: RequestId, retry_after_ms: f64) {
         self.actions.push(Action::Reject {
             request,
-            retry_after_ms,
+            retry_after: Milliseconds(retry_after_ms),
         });
     }
 
@@ -75,7 +76,7 @@
     pub(crate) fn set_request_timer(&mut self, request: QuotaRequestId, delay_ms: f64) {
         self.actions.push(Action::SetTimer {
             token: TimerToken(GOSSIP_TIMER.0 + request.0),
-            delay_ms,
+            delay: Milliseconds(delay_ms),
         });
     }
 
@@ -123,7 +124,7 @@
         if let Some(delay_ms) = self.outbox.next_timer_ms(self.now_ms) {
             self.actions.push(Action::SetTimer {
                 token: GOSSIP_TIMER,
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             });
         }
     }
--- a/src/records/client_ledger.rs
+++ b/src/records/client_ledger.rs
@@ -53,7 +53,7 @@
             demand: DecayingValue::default(),
             unreported_demand: 0.0,
             prefetch: Prefetch::default(),
-            quota_allotment: TokenBucket::with_level(plan.burst),
+            quota_allotment: TokenBucket::with_level(plan.burst.0),
             hard_limit_allotment: TokenBucket::default(),
             allotments_at_ms: now_ms,
         }
@@ -73,13 +73,13 @@
         let gateways = f64::from(gateways);
         let fraction = hard_limit_fraction / gateways;
         let hard_limit = BucketLimits {
-            tokens_per_second: plan.hard_limit_rate * fraction,
-            burst: plan.hard_limit_burst * fraction,
+            tokens_per_second: plan.hard_limit_rate.0 * fraction,
+            burst: plan.hard_limit_burst.0 * fraction,
         };
         self.hard_limit_allotment.refill(hard_limit, elapsed_ms);
         let quota = BucketLimits {
-            tokens_per_second: plan.refill_rate / gateways,
-            burst: plan.burst / gateways,
+            tokens_per_second: plan.refill_rate.0 / gateways,
+            burst: plan.burst.0 / gateways,
         };
         self.quota_allotment.refill(quota, elapsed_ms);
     }
--- a/src/records/owner_ledger.rs
+++ b/src/records/owner_ledger.rs
@@ -39,7 +39,7 @@
     pub(crate) fn new(plan: &Plan, now_ms: f64) -> OwnerLedger {
         OwnerLedger {
             updated_at_ms: now_ms,
-            bucket: TokenBucket::with_level(plan.burst),
+            bucket: TokenBucket::with_level(plan.burst.0),
             overflow: 0.0,
             hard_limit: TokenBucket::default(),
             demand: 0.0,
@@ -81,15 +81,15 @@
 
     fn refill(&mut self, plan: &Plan, parameters: &OwnerLedgerParameters, elapsed_ms: f64) {
         let limits = BucketLimits {
-            tokens_per_second: plan.refill_rate,
-            burst: plan.burst,
+            tokens_per_second: plan.refill_rate.0,
+            burst: plan.burst.0,
         };
         let refill = self.bucket.refill(limits, elapsed_ms);
         let decay = exponential_decay(elapsed_ms, parameters.demand_window_ms);
         self.overflow = self.overflow * decay + refill.unlimited_level - refill.level;
         let leased = BucketLimits {
-            tokens_per_second: parameters.leased_rate_fraction * plan.hard_limit_rate,
-            burst: parameters.leased_burst_fraction * plan.hard_limit_burst,
+            tokens_per_second: parameters.leased_rate_fraction * plan.hard_limit_rate.0,
+            burst: parameters.leased_burst_fraction * plan.hard_limit_burst.0,
         };
         self.hard_limit.refill(leased, elapsed_ms);
         self.demand *= decay;
@@ -163,7 +163,7 @@
 
     /// Charges tokens that were used without a grant, or takes back unused ones (`cost` below zero), and a permit.
     pub(crate) fn settle(&mut self, cost: f64, permit: Option<PermitId>, plan: &Plan) {
-        self.bucket.settle(cost, plan.burst);
+        self.bucket.settle(cost, plan.burst.0);
         if let Some(permit) = permit {
             self.permits.release(permit);
         }
--- a/src/records/quota.rs
+++ b/src/records/quota.rs
@@ -33,7 +33,7 @@
         now_ms: f64,
     ) -> ClientTerms<'a> {
         ClientTerms {
-            plan: &settings.plans[pending.account.plan],
+            plan: settings.plan(pending.account.plan),
             shard_size: shard_size(&pending.request, settings.gateway_count),
             owner_is_local: pending.account.owner == settings.gateway,
             gossip_enabled: settings.gossip_enabled,
--- a/src/records/requests.rs
+++ b/src/records/requests.rs
@@ -1,5 +1,8 @@
 //! Records of the requests that the decision engine has in hand. They only store.
 
+use crate::events::CellId;
+use crate::events::PlanIndex;
+use crate::events::ZoneId;
 use crate::events::{GatewayId, Request};
 use crate::gossip::{QuotaRequest, QuotaRequestId, TenantKey};
 use crate::settings::DeduplicationScope;
@@ -8,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AccountId {
     pub tenant: TenantKey,
-    pub plan: usize,
+    pub plan: PlanIndex,
     pub owner: GatewayId,
 }
 
@@ -123,7 +126,7 @@
         needs_permit: bool,
         expires_at_ms: f64,
     ) -> QuotaRequest {
-        let (id, cost) = (self.quota_request, self.request.cost);
+        let (id, cost) = (self.quota_request, self.request.cost.0);
         QuotaRequest {
             gateway,
             id,
@@ -174,7 +177,7 @@
 
 impl RetryScope {
     /// Whether endpoints of this zone and cell are in the scope.
-    pub(crate) fn includes(&self, zone: u32, cell: u32) -> bool {
+    pub(crate) fn includes(&self, zone: ZoneId, cell: CellId) -> bool {
         match self {
             RetryScope::Within(DeduplicationScope::Zone, first) => zone == first.zone,
             RetryScope::Within(DeduplicationScope::Cell, first) => cell == first.cell,
@@ -186,7 +189,7 @@
 /// An attempt that an endpoint may have executed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PossibleExecution {
-    pub zone: u32,
-    pub cell: u32,
+    pub zone: ZoneId,
+    pub cell: CellId,
     pub sent_at_ms: f64,
 }
--- a/src/records/tenants.rs
+++ b/src/records/tenants.rs
@@ -1,11 +1,12 @@
 //! The tenants that a gateway knows.
 
 use super::{AccountId, ClientLedger, ExpiringMap, OwnerLedger};
+use crate::events::PlanIndex;
 use crate::gossip::TenantKey;
 
 /// A tenant on one plan: its ledger where this gateway owns the quota, and as this gateway uses it.
 pub(crate) struct Tenant {
-    pub plan: usize,
+    pub plan: PlanIndex,
     pub owner: OwnerLedger,
     pub client: ClientLedger,
 }
--- a/src/settings_document.rs
+++ b/src/settings/document.rs
@@ -6,8 +6,9 @@
 //!
 //! Times are in milliseconds. Costs, bursts and slacks are in quota tokens, and rates in quota tokens per second.
 
-use crate::GatewayId;
-use crate::settings::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings};
+use super::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings, SettingsField};
+use crate::events::{GatewayId, ZoneId};
+use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -256,15 +257,15 @@
         Settings {
             gateway: GatewayId(self.gateway),
             gateway_count: self.gateway_count,
-            zone: self.zone,
+            zone: ZoneId(self.zone),
             classes: self.classes.iter().map(RequestClass::from).collect(),
             plans: self.plans.iter().map(Plan::from).collect(),
             max_attempts: self.limits.max_attempts,
             gossip_enabled: self.limits.gossip_enabled,
-            max_request_cost: self.service.max_request_cost,
+            max_request_cost: Tokens(self.service.max_request_cost),
             gossip_intake_per_second: self.service.gossip_intake_per_second,
             initial_warmth: self.rules.initial_warmth,
-            warmup_ms: self.rules.warmup_ms,
+            warmup_duration: Milliseconds(self.rules.warmup_ms),
             warmup_overload_multiple: self.rules.warmup_overload_multiple,
         }
     }
@@ -274,10 +275,10 @@
     fn from(class: &ClassDocument) -> RequestClass {
         RequestClass {
             priority_weight: class.priority_weight,
-            latency_objective_ms: class.latency_objective_ms,
+            latency_objective: Milliseconds(class.latency_objective_ms),
             late_answer_weight: class.late_answer_weight,
             idempotency: class.idempotency(),
-            deduplication_window_ms: class.deduplication_window_ms,
+            deduplication_window: Milliseconds(class.deduplication_window_ms),
         }
     }
 }
@@ -307,14 +308,38 @@
 impl From<&PlanDocument> for Plan {
     fn from(plan: &PlanDocument) -> Plan {
         Plan {
-            refill_rate: plan.refill_rate,
-            burst: plan.burst,
+            refill_rate: TokensPerSecond(plan.refill_rate),
+            burst: Tokens(plan.burst),
             max_concurrency: plan.max_concurrency,
             weight: plan.weight,
             over_quota_penalty: plan.over_quota_penalty,
-            hard_limit_rate: plan.hard_limit_rate,
-            hard_limit_burst: plan.hard_limit_burst,
-            hard_limit_slack: plan.hard_limit_slack,
+            hard_limit_rate: TokensPerSecond(plan.hard_limit_rate),
+            hard_limit_burst: Tokens(plan.hard_limit_burst),
+            hard_limit_slack: Tokens(plan.hard_limit_slack),
+        }
+    }
+}
+
+impl SettingsField {
+    /// The key of the setting in the settings document, relative to the class or the plan that it belongs to.
+    #[must_use]
+    pub fn document_key(self) -> &'static str {
+        match self {
+            SettingsField::PriorityWeight => "Worth",
+            SettingsField::LatencyObjective => "Target",
+            SettingsField::LateAnswerWeight => "LateWorth",
+            SettingsField::DeduplicationWindow => "Window",
+            SettingsField::RefillRate => "UnitsPerS",
+            SettingsField::Burst => "PeakUnits",
+            SettingsField::PlanWeight => "ValueFactor",
+            SettingsField::OverQuotaPenalty => "OverCost",
+            SettingsField::HardLimitRate => "CapRate",
+            SettingsField::HardLimitBurst => "CapDepth",
+            SettingsField::HardLimitSlack => "CeilingSlack",
+            SettingsField::GossipIntake => "Domain.PeerIntake",
+            SettingsField::InitialWarmth => "Rules.ColdFrom",
+            SettingsField::WarmupDuration => "Rules.WarmWithin",
+            SettingsField::WarmupOverloadMultiple => "Rules.FallMultiple",
         }
     }
 }
--- a/tests/decisions/concurrency_permits.rs
+++ b/tests/decisions/concurrency_permits.rs
@@ -5,7 +5,7 @@
 use crate::support::gossip_text::{Decision, decisions, fields, permit_renewal, permit_request};
 use crate::support::requests::{TestRequest, request, success};
 use crate::support::settings::{SMALL_QUOTA, TWO_PERMITS, fleet_settings, settings_without_gossip};
-use marlshelf::{Action, GatewayId, Plan, Settings};
+use marlshelf::{Action, GatewayId, Plan, Settings, Tokens, TokensPerSecond};
 
 /// A request for one of two permits that a shard of three gateways shares: none has a permit of its own.
 fn request_for_shared_permit(id: u64, now_ms: f64) -> TestRequest {
@@ -209,8 +209,8 @@
 fn tokens_return_when_a_client_disconnects_while_waiting_for_a_permit() {
     let mut settings = settings_without_gossip();
     settings.plans[SMALL_QUOTA] = Plan {
-        refill_rate: 0.001,
-        burst: 4.0,
+        refill_rate: TokensPerSecond(0.001),
+        burst: Tokens(4.0),
         max_concurrency: 2,
         weight: 1.0,
         over_quota_penalty: 1.0,
--- a/tests/decisions/fleet_quotas.rs
+++ b/tests/decisions/fleet_quotas.rs
@@ -163,7 +163,7 @@
     let slack = settings.plans[HARD_LIMIT_PLAN].hard_limit_slack;
     let excess = fleet.ledgers[0].hard_limit_excess();
     assert!(
-        excess <= slack,
+        excess <= slack.as_f64(),
         "expected at most {slack} tokens beyond the hard limit, got {excess}"
     );
 }
--- a/tests/decisions/gossip.rs
+++ b/tests/decisions/gossip.rs
@@ -5,7 +5,7 @@
 use crate::support::quota_fleet::{GATEWAYS, QUOTA_PLAN, quota_fleet_settings};
 use crate::support::requests::{request, success};
 use crate::support::settings::{SMALL_QUOTA, fleet_settings};
-use marlshelf::{Action, Event, GatewayId, RequestId, Settings, TimerToken};
+use marlshelf::{Action, Event, GatewayId, Milliseconds, RequestId, Settings, TimerToken};
 use std::collections::BTreeSet;
 
 #[test]
@@ -105,7 +105,7 @@
                 match action {
                     Action::SetTimer {
                         token: TimerToken(token),
-                        delay_ms,
+                        delay: Milliseconds(delay_ms),
                     } => timers.push(TimedEvent {
                         at_ms: at_ms + delay_ms,
                         event: Event::TimerFired {
--- a/tests/decisions/hard_limits.rs
+++ b/tests/decisions/hard_limits.rs
@@ -3,7 +3,7 @@
 use crate::support::gateway::TestGateway;
 use crate::support::requests::{request, success};
 use crate::support::settings::{HARD_LIMIT, fleet_settings};
-use marlshelf::{Action, Event, GatewayId, RequestId, Settings, TimerToken};
+use marlshelf::{Action, Event, GatewayId, Milliseconds, RequestId, Settings, TimerToken};
 
 const GATEWAYS: usize = 4;
 /// What a limit of 4 tokens a second and a burst of 16 with a slack of 2 allows in ten seconds.
@@ -105,7 +105,7 @@
             }
             Action::SetTimer {
                 token: TimerToken(token),
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             } => self.timers.push(RequestTimer {
                 due_at_ms: now_ms + delay_ms,
                 gateway,
--- a/tests/decisions/quota_leases.rs
+++ b/tests/decisions/quota_leases.rs
@@ -6,7 +6,7 @@
 use crate::support::gateway_pair::{GatewayPair, forwarded_count, request_timer};
 use crate::support::requests::request;
 use crate::support::settings::{SMALL_QUOTA, quota_plan, settings};
-use marlshelf::{Action, Event, GatewayId, Settings, TimerToken};
+use marlshelf::{Action, Event, GatewayId, Milliseconds, Settings, TimerToken, TokensPerSecond};
 
 #[test]
 fn request_is_forwarded_from_the_fallback_allotment_when_the_owner_stays_silent() {
@@ -104,7 +104,7 @@
         for entry in &actions {
             if let Action::SetTimer {
                 token: TimerToken(token),
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             } = entry.action
             {
                 timers.push((now_ms + delay_ms, token));
@@ -162,7 +162,7 @@
 #[test]
 fn restarted_gateway_does_not_repeat_request_numbers_of_its_former_incarnation() {
     let mut settings = settings();
-    settings.plans[SMALL_QUOTA].refill_rate = 0.01;
+    settings.plans[SMALL_QUOTA].refill_rate = TokensPerSecond(0.01);
     let mut pair = GatewayPair::new(&settings);
     let gateway = pair.receive_at_non_owner(0.0).gateway;
     let of_incarnation = |incarnation: u64| {
--- a/tests/decisions/quota_owner.rs
+++ b/tests/decisions/quota_owner.rs
@@ -10,7 +10,7 @@
 use crate::support::settings::{
     AMPLE_QUOTA, HARD_LIMIT, SMALL_QUOTA, quota_plan, settings, settings_without_gossip,
 };
-use marlshelf::{Action, AttemptOutcome, Settings};
+use marlshelf::{Action, AttemptOutcome, Milliseconds, Settings, Tokens, TokensPerSecond};
 
 /// A quota owner of three gateways whose gossip is not paced.
 fn quota_owner(settings: Settings) -> TestGateway {
@@ -79,7 +79,7 @@
 #[test]
 fn usage_forwarded_after_a_lost_grant_is_charged_once() {
     let mut settings = settings();
-    settings.plans[SMALL_QUOTA].refill_rate = 0.01;
+    settings.plans[SMALL_QUOTA].refill_rate = TokensPerSecond(0.01);
     let mut owner = quota_owner(settings);
     let mut decide = |text: &str| decisions(&mut owner, 1000.0, text);
     assert_eq!(decide(&small_quota_request(1)), [Decision::Granted(1)]);
@@ -104,7 +104,7 @@
 fn granted_of_a_bucket_of_12(gateway_count: u32, cost: f64) -> usize {
     let mut owner = TestGateway::new(Settings {
         gateway_count,
-        max_request_cost: 12.0,
+        max_request_cost: Tokens(12.0),
         gossip_intake_per_second: 1000.0,
         plans: vec![quota_plan(2.0, 12.0)],
         ..settings()
@@ -143,7 +143,7 @@
     gateway.finish(
         5.0,
         AttemptOutcome {
-            actual_cost: Some(4.0),
+            actual_cost: Some(Tokens(4.0)),
             ..success(1, &endpoint, 5.0)
         },
     );
@@ -156,7 +156,12 @@
 #[test]
 fn rejection_over_quota_advises_to_retry_once_the_tokens_are_there() {
     let retry_after_ms = |actions: &[Action]| match actions {
-        [Action::Reject { retry_after_ms, .. }] => *retry_after_ms,
+        [
+            Action::Reject {
+                retry_after: Milliseconds(retry_after_ms),
+                ..
+            },
+        ] => *retry_after_ms,
         other => panic!("expected one rejection, got {other:?}"),
     };
     let mut gateway = TestGateway::new(settings_without_gossip());
--- a/tests/decisions/request_lifecycle.rs
+++ b/tests/decisions/request_lifecycle.rs
@@ -4,7 +4,10 @@
 use crate::support::gateway::{TestGateway, default_endpoints};
 use crate::support::requests::{outcome, request, success};
 use crate::support::settings::{IDEMPOTENT, KEYED, settings};
-use marlshelf::{Action, AttemptResult, DecisionEngine, Event, RequestId, Settings, TimerToken};
+use marlshelf::{
+    Action, AttemptResult, DecisionEngine, Event, Milliseconds, RequestId, Settings, TimerToken,
+    Tokens, TokensPerSecond,
+};
 
 #[test]
 fn request_without_endpoints_or_of_an_unknown_class_or_plan_is_rejected() {
@@ -94,17 +97,23 @@
         ("no class", |s| s.classes.clear()),
         ("no gateway", |s| s.gateway_count = 0),
         ("a latency objective of 0", |s| {
-            s.classes[IDEMPOTENT].latency_objective_ms = 0.0;
+            s.classes[IDEMPOTENT].latency_objective = Milliseconds(0.0);
         }),
         ("a priority weight that is not a number", |s| {
             s.classes[IDEMPOTENT].priority_weight = f64::NAN;
         }),
         ("a keyed class without a deduplication window", |s| {
-            s.classes[KEYED].deduplication_window_ms = 0.0;
+            s.classes[KEYED].deduplication_window = Milliseconds(0.0);
+        }),
+        ("a negative refill rate", |s| {
+            s.plans[0].refill_rate = TokensPerSecond(-1.0);
+        }),
+        ("a refill rate without a burst", |s| {
+            s.plans[0].burst = Tokens(0.0);
+        }),
+        ("an infinite warm-up", |s| {
+            s.warmup_duration = Milliseconds(f64::INFINITY);
         }),
-        ("a negative refill rate", |s| s.plans[0].refill_rate = -1.0),
-        ("a refill rate without a burst", |s| s.plans[0].burst = 0.0),
-        ("an infinite warm-up", |s| s.warmup_ms = f64::INFINITY),
     ];
     for (fault, introduce) in cases {
         let mut settings = settings();
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -4,7 +4,7 @@
 use crate::support::gateway::{TestGateway, endpoint};
 use crate::support::requests::{outcome, request};
 use crate::support::settings::{KEYED, NON_IDEMPOTENT, settings};
-use marlshelf::{Action, AttemptResult};
+use marlshelf::{Action, AttemptResult, Milliseconds};
 
 /// The first attempt of a request, which has ended.
 struct FirstAttempt {
@@ -78,7 +78,7 @@
 #[test]
 fn keyed_request_is_not_retried_after_its_deduplication_window() {
     let mut settings = settings();
-    settings.classes[KEYED].deduplication_window_ms = 5.0;
+    settings.classes[KEYED].deduplication_window = Milliseconds(5.0);
     let mut gateway = TestGateway::new(settings);
     let FirstAttempt { actions, .. } = first_attempt(&mut gateway, KEYED, AttemptResult::Error);
     assert!(
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -4,11 +4,11 @@
 use crate::support::gateway::{TestGateway, endpoint};
 use crate::support::requests::request;
 use crate::support::settings::{fleet_settings, settings};
-use marlshelf::{Endpoint, EndpointState, GatewayId, Settings};
+use marlshelf::{Endpoint, EndpointState, GatewayId, Milliseconds, Settings, Timestamp};
 
 fn started_at(name: &str, started_at_ms: f64) -> Endpoint {
     Endpoint {
-        started_at_ms,
+        started_at: Timestamp(started_at_ms),
         ..endpoint(name, 0)
     }
 }
@@ -71,7 +71,7 @@
     let settings = Settings {
         gateway: GatewayId(id),
         initial_warmth: 0.16,
-        warmup_ms: 16_000.0,
+        warmup_duration: Milliseconds(16_000.0),
         ..fleet_settings(100)
     };
     let old = endpoint("old", 0);
--- a/tests/decisions/support/actions.rs
+++ b/tests/decisions/support/actions.rs
@@ -1,6 +1,6 @@
 //! Questions that tests ask of the actions an engine returned.
 
-use marlshelf::{Action, TimerToken};
+use marlshelf::{Action, Milliseconds, TimerToken, Timestamp};
 
 /// The token of the timer that every engine sets for its gossip outbox. All other tokens belong to requests.
 pub const GOSSIP_TIMER: u64 = 1;
@@ -38,7 +38,10 @@
 
     fn attempt_deadline_ms(&self) -> Option<f64> {
         self.iter().find_map(|action| match action {
-            Action::Forward { deadline_ms, .. } => Some(*deadline_ms),
+            Action::Forward {
+                deadline: Timestamp(deadline_ms),
+                ..
+            } => Some(*deadline_ms),
             _ => None,
         })
     }
@@ -77,7 +80,7 @@
     match *action {
         Action::SetTimer {
             token: TimerToken(token),
-            delay_ms,
+            delay: Milliseconds(delay_ms),
         } => Some(Timer { token, delay_ms }),
         _ => None,
     }
--- a/tests/decisions/support/arrivals.rs
+++ b/tests/decisions/support/arrivals.rs
@@ -61,7 +61,7 @@
             shard_start,
             shard_size,
         };
-        let tokens_per_second = utilization * settings.plans[plan].refill_rate;
+        let tokens_per_second = utilization * settings.plans[plan].refill_rate.as_f64();
         let mean_interval_ms = 1000.0 * MEAN_COST / tokens_per_second;
         add_arrivals(
             &mut workload.arrivals,
--- a/tests/decisions/support/gateway.rs
+++ b/tests/decisions/support/gateway.rs
@@ -3,8 +3,8 @@
 use super::actions::Actions;
 use super::requests::{TestRequest, success};
 use marlshelf::{
-    Action, AttemptOutcome, DecisionEngine, Endpoint, EndpointListKind, EndpointState, Event,
-    GatewayId, RequestId, Settings, TimerToken,
+    Action, AttemptOutcome, CellId, DecisionEngine, Endpoint, EndpointListKind, EndpointState,
+    Event, GatewayId, HardwareId, RequestId, Settings, TimerToken, Timestamp, ZoneId,
 };
 
 /// The seed of engines in tests that hold for any seed.
@@ -18,12 +18,12 @@
 pub fn endpoint(name: &str, zone: u32) -> Endpoint {
     Endpoint {
         name: name.into(),
-        zone,
-        cell: zone,
-        hardware: 0,
+        zone: ZoneId(zone),
+        cell: CellId(zone),
+        hardware: HardwareId(0),
         weight: 1.0,
         state: EndpointState::Ready,
-        started_at_ms: 0.0,
+        started_at: Timestamp(0.0),
     }
 }
 
@@ -59,7 +59,7 @@
     }
 
     pub fn handle(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
-        self.engine.handle_event(now_ms, event)
+        self.engine.handle_event(Timestamp(now_ms), event)
     }
 
     /// Discovery sends the full list.
--- a/tests/decisions/support/quota_fleet.rs
+++ b/tests/decisions/support/quota_fleet.rs
@@ -6,8 +6,9 @@
 use super::quota_ledger::{ForwardedValue, QuotaLedger, settlement};
 use super::requests::success;
 use marlshelf::{
-    Action, AttemptOutcome, EndpointName, Event, GatewayId, Plan, Request, RequestClass, RequestId,
-    Settings, TimerToken,
+    Action, AttemptOutcome, ClassIndex, EndpointName, Event, GatewayId, Milliseconds, Plan,
+    PlanIndex, Request, RequestClass, RequestId, Settings, TimerToken, Timestamp, Tokens,
+    TokensPerSecond,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,8 +31,8 @@
 /// A fleet with plans of each kind of limit.
 pub fn quota_fleet_settings() -> Settings {
     let plan = |refill_rate, burst, weight, over_quota_penalty| Plan {
-        refill_rate,
-        burst,
+        refill_rate: TokensPerSecond(refill_rate),
+        burst: Tokens(burst),
         weight,
         over_quota_penalty,
         ..Plan::default()
@@ -40,7 +41,7 @@
         gateway_count: GATEWAYS,
         classes: vec![RequestClass {
             priority_weight: 1.0,
-            latency_objective_ms: 2000.0,
+            latency_objective: Milliseconds(2000.0),
             late_answer_weight: 0.2,
             ..RequestClass::default()
         }],
@@ -52,18 +53,18 @@
                 ..plan(5.0, 20.0, 1.3, 1.0)
             },
             Plan {
-                hard_limit_rate: 28.0,
-                hard_limit_burst: 60.0,
-                hard_limit_slack: 6.0,
+                hard_limit_rate: TokensPerSecond(28.0),
+                hard_limit_burst: Tokens(60.0),
+                hard_limit_slack: Tokens(6.0),
                 ..plan(14.0, 30.0, 1.8, 0.0)
             },
         ],
         max_attempts: 3,
         gossip_enabled: true,
-        max_request_cost: 6.0,
+        max_request_cost: Tokens(6.0),
         gossip_intake_per_second: 60.0,
         initial_warmth: 0.2,
-        warmup_ms: 10_000.0,
+        warmup_duration: Milliseconds(10_000.0),
         ..Settings::default()
     }
 }
@@ -180,7 +181,7 @@
                 let settlement = settlement(arrival, within_quota);
                 self.result.ledgers[arrival.tenant].finish(plan, now_ms, settlement);
                 Event::AttemptFinished(AttemptOutcome {
-                    actual_cost: Some(arrival.actual_cost),
+                    actual_cost: Some(Tokens(arrival.actual_cost)),
                     ..success(request, &endpoint, LATENCY_MS)
                 })
             }
@@ -193,12 +194,12 @@
         Request {
             id: RequestId(index as u64),
             tenant: format!("c{}", arrival.tenant).into(),
-            class: 0,
-            plan: tenant.plan,
-            cost: arrival.estimated_cost,
+            class: ClassIndex(0),
+            plan: PlanIndex(tenant.plan),
+            cost: Tokens(arrival.estimated_cost),
             shard_start: GatewayId(tenant.shard_start),
             shard_size: tenant.shard_size,
-            client_deadline_ms: now_ms + CLIENT_TIMEOUT_MS,
+            client_deadline: Timestamp(now_ms + CLIENT_TIMEOUT_MS),
             is_retry: false,
         }
     }
@@ -221,7 +222,7 @@
             }
             Action::SetTimer {
                 token: TimerToken(token),
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             } => {
                 let event = GatewayEvent::TimerFires(token);
                 self.schedule(now_ms + delay_ms, gateway, event);
--- a/tests/decisions/support/quota_ledger.rs
+++ b/tests/decisions/support/quota_ledger.rs
@@ -26,8 +26,8 @@
     pub fn new(plan: &Plan) -> Self {
         QuotaLedger {
             updated_at_ms: 0.0,
-            tokens: plan.burst,
-            hard_limit_tokens: plan.hard_limit_burst,
+            tokens: plan.burst.as_f64(),
+            hard_limit_tokens: plan.hard_limit_burst.as_f64(),
             lowest_hard_limit_tokens: 0.0,
             in_flight: 0,
         }
@@ -41,9 +41,9 @@
     pub fn refill(&mut self, plan: &Plan, now_ms: f64) {
         let seconds = (now_ms - self.updated_at_ms) / 1000.0;
         self.updated_at_ms = now_ms;
-        self.tokens = (self.tokens + plan.refill_rate * seconds).min(plan.burst);
-        self.hard_limit_tokens =
-            (self.hard_limit_tokens + plan.hard_limit_rate * seconds).min(plan.hard_limit_burst);
+        self.tokens = (self.tokens + plan.refill_rate.as_f64() * seconds).min(plan.burst.as_f64());
+        self.hard_limit_tokens = (self.hard_limit_tokens + plan.hard_limit_rate.as_f64() * seconds)
+            .min(plan.hard_limit_burst.as_f64());
     }
 
     pub fn has_capacity(&self, plan: &Plan, cost: f64) -> bool {
@@ -76,7 +76,7 @@
     /// Ends an attempt and charges these tokens beside the estimate.
     pub fn finish(&mut self, plan: &Plan, now_ms: f64, settlement: f64) {
         self.refill(plan, now_ms);
-        self.tokens = (self.tokens - settlement).min(plan.burst);
+        self.tokens = (self.tokens - settlement).min(plan.burst.as_f64());
         self.in_flight -= 1;
     }
 }
--- a/tests/decisions/support/recorded_scenario.rs
+++ b/tests/decisions/support/recorded_scenario.rs
@@ -8,8 +8,8 @@
 use super::recorded_gossip::{GOSSIP, OUTCOMES};
 use super::requests::{TestRequest, request, success};
 use marlshelf::{
-    Action, AttemptOutcome, Event, GatewayId, Idempotency, Plan, RequestClass, RequestId, Settings,
-    TimerToken,
+    Action, AttemptOutcome, Event, GatewayId, Idempotency, Milliseconds, Plan, RequestClass,
+    RequestId, Settings, TimerToken, Tokens, TokensPerSecond,
 };
 use std::ops::Range;
 
@@ -33,8 +33,8 @@
 
 fn settings() -> Settings {
     let token_bucket = |refill_rate, burst| Plan {
-        refill_rate,
-        burst,
+        refill_rate: TokensPerSecond(refill_rate),
+        burst: Tokens(burst),
         weight: 1.0,
         over_quota_penalty: 0.5,
         ..Plan::default()
@@ -49,33 +49,33 @@
         gateway_count: GATEWAYS,
         classes: vec![RequestClass {
             priority_weight: 1.0,
-            latency_objective_ms: 800.0,
+            latency_objective: Milliseconds(800.0),
             late_answer_weight: 0.0,
             idempotency: Idempotency::Idempotent,
-            deduplication_window_ms: 0.0,
+            deduplication_window: Milliseconds(0.0),
         }],
         plans: vec![
             token_bucket(2.0, 4.0),
             permits.clone(),
             Plan {
-                refill_rate: 4.0,
-                burst: 6.0,
+                refill_rate: TokensPerSecond(4.0),
+                burst: Tokens(6.0),
                 ..permits
             },
             Plan {
-                hard_limit_rate: 4.0,
-                hard_limit_burst: 16.0,
-                hard_limit_slack: 2.0,
+                hard_limit_rate: TokensPerSecond(4.0),
+                hard_limit_burst: Tokens(16.0),
+                hard_limit_slack: Tokens(2.0),
                 ..token_bucket(20.0, 20.0)
             },
             token_bucket(10.0, 20.0),
         ],
         max_attempts: 3,
         gossip_enabled: true,
-        max_request_cost: 3.0,
+        max_request_cost: Tokens(3.0),
         gossip_intake_per_second: 50.0,
         initial_warmth: 0.2,
-        warmup_ms: 10_000.0,
+        warmup_duration: Milliseconds(10_000.0),
         ..Settings::default()
     }
 }
@@ -263,7 +263,7 @@
             } => {
                 log_outcome(format!("forward {request} {endpoint}"));
                 let outcome = AttemptOutcome {
-                    actual_cost: actual_cost(request),
+                    actual_cost: actual_cost(request).map(Tokens),
                     ..success(request, &endpoint, latency_ms(request))
                 };
                 let answered = Event::AttemptFinished(outcome);
@@ -271,7 +271,7 @@
             }
             Action::Reject {
                 request: RequestId(request),
-                retry_after_ms,
+                retry_after: Milliseconds(retry_after_ms),
             } => log_outcome(format!("reject {request} {retry_after_ms}")),
             Action::Fail {
                 request: RequestId(request),
@@ -289,7 +289,7 @@
             }
             Action::SetTimer {
                 token: TimerToken(token),
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             } => {
                 self.schedule(
                     now_ms + delay_ms,
--- a/tests/decisions/support/requests.rs
+++ b/tests/decisions/support/requests.rs
@@ -1,7 +1,10 @@
 //! Requests of clients, and outcomes of the attempts made for them.
 
 use super::settings::{AMPLE_QUOTA, IDEMPOTENT};
-use marlshelf::{AttemptOutcome, AttemptResult, Event, GatewayId, Request, RequestId};
+use marlshelf::{
+    AttemptOutcome, AttemptResult, ClassIndex, Event, GatewayId, Milliseconds, PlanIndex, Request,
+    RequestId, Timestamp, Tokens,
+};
 
 /// A request and the time at which a gateway receives it.
 #[derive(Clone)]
@@ -17,12 +20,12 @@
         request: Request {
             id: RequestId(id),
             tenant: "acme".into(),
-            class: IDEMPOTENT,
-            plan: AMPLE_QUOTA,
-            cost: 1.0,
+            class: ClassIndex(IDEMPOTENT),
+            plan: PlanIndex(AMPLE_QUOTA),
+            cost: Tokens(1.0),
             shard_start: GatewayId(0),
             shard_size: 2,
-            client_deadline_ms: received_at_ms + 2000.0,
+            client_deadline: Timestamp(received_at_ms + 2000.0),
             is_retry: false,
         },
     }
@@ -36,12 +39,12 @@
     }
 
     pub fn class(mut self, class: usize) -> Self {
-        self.request.class = class;
+        self.request.class = ClassIndex(class);
         self
     }
 
     pub fn plan(mut self, plan: usize) -> Self {
-        self.request.plan = plan;
+        self.request.plan = PlanIndex(plan);
         self
     }
 
@@ -51,7 +54,7 @@
     }
 
     pub fn cost(mut self, tokens: f64) -> Self {
-        self.request.cost = tokens;
+        self.request.cost = Tokens(tokens);
         self
     }
 
@@ -69,7 +72,7 @@
     }
 
     pub fn client_deadline_ms(mut self, deadline_ms: f64) -> Self {
-        self.request.client_deadline_ms = deadline_ms;
+        self.request.client_deadline = Timestamp(deadline_ms);
         self
     }
 
@@ -90,7 +93,7 @@
         attempt: 0,
         endpoint: endpoint.into(),
         result,
-        latency_ms,
+        latency: Milliseconds(latency_ms),
         request_ended: result == AttemptResult::Success,
         metered_use: None,
         actual_cost: None,
--- a/tests/decisions/support/settings.rs
+++ b/tests/decisions/support/settings.rs
@@ -1,7 +1,10 @@
 //! Settings for gateways under test.
 
 use super::simulated_endpoint::{INITIAL_WARMTH, OVERLOAD_MULTIPLE, WARMUP_MS};
-use marlshelf::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings};
+use marlshelf::{
+    DeduplicationScope, Idempotency, Milliseconds, Plan, RequestClass, Settings, Tokens,
+    TokensPerSecond,
+};
 
 /// The class of `settings()` that may be retried without limit, of the lowest priority.
 pub const IDEMPOTENT: usize = 0;
@@ -33,7 +36,7 @@
         gossip_enabled: true,
         gossip_intake_per_second: 50.0,
         initial_warmth: 0.2,
-        warmup_ms: 10_000.0,
+        warmup_duration: Milliseconds(10_000.0),
         ..Settings::default()
     }
 }
@@ -57,8 +60,8 @@
 /// A plan with nothing but a token bucket, where forwarding over quota costs the whole value.
 pub fn quota_plan(refill_rate: f64, burst: f64) -> Plan {
     Plan {
-        refill_rate,
-        burst,
+        refill_rate: TokensPerSecond(refill_rate),
+        burst: Tokens(burst),
         weight: 1.0,
         over_quota_penalty: 1.0,
         ..Plan::default()
@@ -68,25 +71,25 @@
 fn class(idempotency: Idempotency, priority_weight: f64) -> RequestClass {
     RequestClass {
         priority_weight,
-        latency_objective_ms: 800.0,
+        latency_objective: Milliseconds(800.0),
         late_answer_weight: 0.0,
         idempotency,
-        deduplication_window_ms: 2000.0,
+        deduplication_window: Milliseconds(2000.0),
     }
 }
 
 /// The plans in the order of their constants.
 fn plans() -> Vec<Plan> {
     let ample = Plan {
-        refill_rate: 1000.0,
-        burst: 1000.0,
+        refill_rate: TokensPerSecond(1000.0),
+        burst: Tokens(1000.0),
         weight: 1.0,
         over_quota_penalty: 0.5,
         ..Plan::default()
     };
     let small = Plan {
-        refill_rate: 2.0,
-        burst: 4.0,
+        refill_rate: TokensPerSecond(2.0),
+        burst: Tokens(4.0),
         ..ample.clone()
     };
     let two_permits = Plan {
@@ -97,9 +100,9 @@
     };
     let hard_limit = Plan {
         over_quota_penalty: 0.0,
-        hard_limit_rate: 4.0,
-        hard_limit_burst: 16.0,
-        hard_limit_slack: 2.0,
+        hard_limit_rate: TokensPerSecond(4.0),
+        hard_limit_burst: Tokens(16.0),
+        hard_limit_slack: Tokens(2.0),
         ..ample.clone()
     };
     vec![ample, small, two_permits, hard_limit]
@@ -109,17 +112,17 @@
 pub fn slow_start_settings(gateway_count: u32) -> Settings {
     let idempotent = RequestClass {
         priority_weight: 2.0,
-        latency_objective_ms: 2500.0,
+        latency_objective: Milliseconds(2500.0),
         late_answer_weight: 0.2,
         idempotency: Idempotency::Idempotent,
-        deduplication_window_ms: 0.0,
+        deduplication_window: Milliseconds(0.0),
     };
     let non_idempotent = RequestClass {
         priority_weight: 5.0,
-        latency_objective_ms: 1200.0,
+        latency_objective: Milliseconds(1200.0),
         late_answer_weight: 0.0,
         idempotency: Idempotency::NonIdempotent,
-        deduplication_window_ms: 0.0,
+        deduplication_window: Milliseconds(0.0),
     };
     let without_quota = Plan {
         weight: 1.0,
@@ -133,7 +136,7 @@
         gossip_enabled: true,
         gossip_intake_per_second: 60.0,
         initial_warmth: INITIAL_WARMTH,
-        warmup_ms: WARMUP_MS,
+        warmup_duration: Milliseconds(WARMUP_MS),
         warmup_overload_multiple: OVERLOAD_MULTIPLE,
         ..Settings::default()
     }
--- a/tests/decisions/support/simulated_endpoint.rs
+++ b/tests/decisions/support/simulated_endpoint.rs
@@ -1,6 +1,8 @@
 //! An endpoint that starts slow and fails when it is sent more than its present capacity allows.
 
-use marlshelf::{AttemptResult, Endpoint, EndpointName, EndpointState};
+use marlshelf::{
+    AttemptResult, CellId, Endpoint, EndpointName, EndpointState, HardwareId, Timestamp, ZoneId,
+};
 
 /// The part of its capacity that an endpoint starts with.
 pub const INITIAL_WARMTH: f64 = 0.16;
@@ -55,12 +57,12 @@
     pub fn listing(&self, state: EndpointState) -> Endpoint {
         Endpoint {
             name: self.name.clone(),
-            zone: 0,
-            cell: 0,
-            hardware: 0,
+            zone: ZoneId(0),
+            cell: CellId(0),
+            hardware: HardwareId(0),
             weight: 1.0,
             state,
-            started_at_ms: self.started_at_ms,
+            started_at: Timestamp(self.started_at_ms),
         }
     }
 
--- a/tests/decisions/support/slow_start_fleet.rs
+++ b/tests/decisions/support/slow_start_fleet.rs
@@ -7,7 +7,7 @@
 use super::simulated_endpoint::{AttemptEnd, SimulatedEndpoint, WARMUP_MS};
 use marlshelf::{
     Action, AttemptResult, Endpoint, EndpointListKind, EndpointName, EndpointState, Event,
-    GatewayId, RequestId, Settings, TimerToken,
+    GatewayId, Milliseconds, RequestId, Settings, TimerToken, Timestamp,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -308,11 +308,11 @@
             Action::Forward {
                 request: RequestId(request),
                 endpoint,
-                deadline_ms,
+                deadline: Timestamp(deadline_ms),
             } => self.forward(now_ms, request, &endpoint, deadline_ms),
             Action::SetTimer {
                 token: TimerToken(token),
-                delay_ms,
+                delay: Milliseconds(delay_ms),
             } => {
                 let event = FleetEvent::TimerFires { gateway, token };
                 self.queue.insert(now_ms + delay_ms, event);
--- a/tests/gateway/client_requests.rs
+++ b/tests/gateway/client_requests.rs
@@ -2,6 +2,7 @@
 
 use crate::client_listener::*;
 use crate::support::*;
+use marlshelf::{ClassIndex, PlanIndex, Tokens};
 
 /// The bytes of an invalid request, and the error in its response.
 type InvalidRequest = (Vec<u8>, &'static str);
@@ -124,9 +125,9 @@
         let request = &received[0].request;
         assert_eq!(&*request.tenant, TENANT);
         assert_eq!(request.client_request_id, 0x9b1f_03aa_5c7e_2d41);
-        assert_eq!((request.class, request.plan), (2, 0));
+        assert_eq!((request.class, request.plan), (ClassIndex(2), PlanIndex(0)));
         assert_eq!((request.shard_start, request.shard_size), (1, 2));
-        assert_eq!((request.cost, request.wait_ms), (2.5, 700.0));
+        assert_eq!((request.cost, request.wait_ms), (Tokens(2.5), 700.0));
         assert!(request.is_retry);
     });
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -73,7 +73,7 @@
 fn wire_words_stay_in_the_adapter() {
     let mut paths = policy_files();
     paths.push("src/events.rs".to_string());
-    paths.push("src/settings.rs".to_string());
+    paths.push("src/settings/mod.rs".to_string());
     for path in paths {
         let text = read(&path);
         for word in WIRE_WORDS {
--- a/tests/settings/samples.rs
+++ b/tests/settings/samples.rs
@@ -1,7 +1,8 @@
 //! Serialized settings in both of their forms, and the values that they stand for.
 
 use marlshelf::{
-    DeduplicationScope, GatewayId, Idempotency, Plan, RequestClass, Settings, SettingsDocument,
+    DeduplicationScope, GatewayId, Idempotency, Milliseconds, Plan, RequestClass, Settings,
+    SettingsDocument, Tokens, TokensPerSecond, ZoneId,
 };
 use serde_json::{Value, json};
 
@@ -118,10 +119,10 @@
 ) -> RequestClass {
     RequestClass {
         priority_weight,
-        latency_objective_ms,
+        latency_objective: Milliseconds(latency_objective_ms),
         late_answer_weight,
         idempotency,
-        deduplication_window_ms,
+        deduplication_window: Milliseconds(deduplication_window_ms),
     }
 }
 
@@ -130,15 +131,15 @@
     Settings {
         gateway: GatewayId(6),
         gateway_count: 7,
-        zone: 2,
+        zone: ZoneId(2),
         classes: complete_classes(),
         plans: complete_plans(),
         max_attempts: 5,
         gossip_enabled: true,
-        max_request_cost: 9.0,
+        max_request_cost: Tokens(9.0),
         gossip_intake_per_second: 55.0,
         initial_warmth: 0.175,
-        warmup_ms: 13_000.0,
+        warmup_duration: Milliseconds(13_000.0),
         warmup_overload_multiple: 3.5,
     }
 }
@@ -156,24 +157,24 @@
 
 fn complete_plans() -> Vec<Plan> {
     let basic = Plan {
-        refill_rate: 1.25,
-        burst: 14.0,
+        refill_rate: TokensPerSecond(1.25),
+        burst: Tokens(14.0),
         max_concurrency: 3,
         weight: 0.875,
         over_quota_penalty: 0.6,
-        hard_limit_rate: 31.0,
-        hard_limit_burst: 71.0,
-        hard_limit_slack: 8.0,
+        hard_limit_rate: TokensPerSecond(31.0),
+        hard_limit_burst: Tokens(71.0),
+        hard_limit_slack: Tokens(8.0),
     };
     let extra = Plan {
-        refill_rate: 6.5,
-        burst: 22.0,
+        refill_rate: TokensPerSecond(6.5),
+        burst: Tokens(22.0),
         max_concurrency: 0,
         weight: 1.75,
         over_quota_penalty: 1.5,
-        hard_limit_rate: 0.0,
-        hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
+        hard_limit_rate: TokensPerSecond(0.0),
+        hard_limit_burst: Tokens(0.0),
+        hard_limit_slack: Tokens(0.0),
     };
     vec![basic, extra]
 }
--- a/tests/settings/validation.rs
+++ b/tests/settings/validation.rs
@@ -2,7 +2,8 @@
 
 use crate::samples::{COMPLETE_SETTINGS, complete_settings, parse};
 use marlshelf::{
-    DecisionEngine, GatewayId, Settings, SettingsDocument, SettingsError, SettingsSection,
+    ClassIndex, DecisionEngine, GatewayId, Milliseconds, PlanIndex, Settings, SettingsDocument,
+    SettingsError, SettingsField, SettingsSection, Tokens, TokensPerSecond,
 };
 use serde_json::json;
 
@@ -12,19 +13,31 @@
 /// A number in the settings, with the names that an error must give it.
 struct NumericSetting {
     section: SettingsSection,
-    field: &'static str,
+    field: SettingsField,
+    name: &'static str,
     key: &'static str,
     set: fn(&mut Settings, f64),
 }
 
+const fn class(index: usize) -> SettingsSection {
+    SettingsSection::Class(ClassIndex(index))
+}
+
+const fn plan(index: usize) -> SettingsSection {
+    SettingsSection::Plan(PlanIndex(index))
+}
+
+/// A setting by its section, its field, its name in messages, its key in the document, its path in [`Settings`] and its
+/// unit, if any.
 macro_rules! numeric_setting {
-    ($section:expr, $key:literal, $field:ident $(, $list:ident[$index:literal])?) => {
+    ($section:expr, $field:ident, $name:literal, $key:literal, $(($list:ident[$index:literal]),)? $member:ident $(as $unit:ident)?) => {
         NumericSetting {
             section: $section,
-            field: stringify!($field),
+            field: SettingsField::$field,
+            name: $name,
             key: $key,
             set: |settings, value| {
-                settings$(.$list[$index])?.$field = value;
+                settings.$($list[$index].)? $member = $($unit)?(value);
             },
         }
     };
@@ -32,65 +45,118 @@
 
 const NUMERIC_SETTINGS: [NumericSetting; 15] = [
     numeric_setting!(
-        SettingsSection::Class(2),
+        class(2),
+        PriorityWeight,
+        "priority_weight",
         "Worth",
-        priority_weight,
-        classes[2]
+        (classes[2]),
+        priority_weight
     ),
     numeric_setting!(
-        SettingsSection::Class(3),
+        class(3),
+        LatencyObjective,
+        "latency_objective_ms",
         "Target",
-        latency_objective_ms,
-        classes[3]
+        (classes[3]),
+        latency_objective as Milliseconds
     ),
     numeric_setting!(
-        SettingsSection::Class(0),
+        class(0),
+        LateAnswerWeight,
+        "late_answer_weight",
         "LateWorth",
-        late_answer_weight,
-        classes[0]
+        (classes[0]),
+        late_answer_weight
     ),
     numeric_setting!(
-        SettingsSection::Class(1),
+        class(1),
+        DeduplicationWindow,
+        "deduplication_window_ms",
         "Window",
-        deduplication_window_ms,
-        classes[1]
+        (classes[1]),
+        deduplication_window as Milliseconds
     ),
-    numeric_setting!(SettingsSection::Plan(1), "UnitsPerS", refill_rate, plans[1]),
-    numeric_setting!(SettingsSection::Plan(0), "PeakUnits", burst, plans[0]),
-    numeric_setting!(SettingsSection::Plan(1), "ValueFactor", weight, plans[1]),
     numeric_setting!(
-        SettingsSection::Plan(0),
+        plan(1),
+        RefillRate,
+        "refill_rate",
+        "UnitsPerS",
+        (plans[1]),
+        refill_rate as TokensPerSecond
+    ),
+    numeric_setting!(
+        plan(0),
+        Burst,
+        "burst",
+        "PeakUnits",
+        (plans[0]),
+        burst as Tokens
+    ),
+    numeric_setting!(
+        plan(1),
+        PlanWeight,
+        "weight",
+        "ValueFactor",
+        (plans[1]),
+        weight
+    ),
+    numeric_setting!(
+        plan(0),
+        OverQuotaPenalty,
+        "over_quota_penalty",
         "OverCost",
-        over_quota_penalty,
-        plans[0]
+        (plans[0]),
+        over_quota_penalty
     ),
     numeric_setting!(
-        SettingsSection::Plan(1),
+        plan(1),
+        HardLimitRate,
+        "hard_limit_rate",
         "CapRate",
-        hard_limit_rate,
-        plans[1]
+        (plans[1]),
+        hard_limit_rate as TokensPerSecond
     ),
     numeric_setting!(
-        SettingsSection::Plan(0),
+        plan(0),
+        HardLimitBurst,
+        "hard_limit_burst",
         "CapDepth",
-        hard_limit_burst,
-        plans[0]
+        (plans[0]),
+        hard_limit_burst as Tokens
     ),
     numeric_setting!(
-        SettingsSection::Plan(1),
+        plan(1),
+        HardLimitSlack,
+        "hard_limit_slack",
         "CeilingSlack",
-        hard_limit_slack,
-        plans[1]
+        (plans[1]),
+        hard_limit_slack as Tokens
     ),
     numeric_setting!(
         SettingsSection::General,
+        GossipIntake,
+        "gossip_intake_per_second",
         "Domain.PeerIntake",
         gossip_intake_per_second
     ),
-    numeric_setting!(SettingsSection::General, "Rules.ColdFrom", initial_warmth),
-    numeric_setting!(SettingsSection::General, "Rules.WarmWithin", warmup_ms),
     numeric_setting!(
         SettingsSection::General,
+        InitialWarmth,
+        "initial_warmth",
+        "Rules.ColdFrom",
+        initial_warmth
+    ),
+    numeric_setting!(
+        SettingsSection::General,
+        WarmupDuration,
+        "warmup_ms",
+        "Rules.WarmWithin",
+        warmup_duration as Milliseconds
+    ),
+    numeric_setting!(
+        SettingsSection::General,
+        WarmupOverloadMultiple,
+        "warmup_overload_multiple",
         "Rules.FallMultiple",
         warmup_overload_multiple
     ),
@@ -108,24 +174,23 @@
         ] {
             let mut settings = complete_settings();
             (setting.set)(&mut settings, invalid);
-            let error = settings.validate().expect_err(setting.field);
+            let error = settings.validate().expect_err(setting.name);
             let SettingsError::InvalidNumber {
                 section,
                 field,
-                key,
                 value,
             } = &error
             else {
-                panic!("{} of {invalid}: {error}", setting.field);
+                panic!("{} of {invalid}: {error}", setting.name);
             };
             assert_eq!(
-                (*section, *field, *key),
-                (setting.section, setting.field, setting.key)
+                (*section, field.name(), field.document_key()),
+                (setting.section, setting.name, setting.key)
             );
             assert_eq!(value.to_bits(), invalid.to_bits());
             let expected = format!(
                 "settings: {}: {} is {invalid}, but must be finite and not negative (key `{}`)",
-                setting.section, setting.field, setting.key
+                setting.section, setting.name, setting.key
             );
             assert_eq!(error.to_string(), expected);
             assert!(DecisionEngine::new(settings, 1).is_err());
@@ -152,7 +217,6 @@
         let expected = SettingsError::InvalidNumber {
             section: setting.section,
             field: setting.field,
-            key: setting.key,
             value: -2.0,
         };
         assert_eq!(document.settings().validate(), Err(expected), "{pointer}");
@@ -164,12 +228,12 @@
     let refused = ["latency_objective_ms", "burst"];
     for setting in NUMERIC_SETTINGS
         .iter()
-        .filter(|setting| !refused.contains(&setting.field))
+        .filter(|setting| !refused.contains(&setting.name))
     {
         for zero in [0.0, -0.0] {
             let mut settings = complete_settings();
             (setting.set)(&mut settings, zero);
-            assert_eq!(settings.validate(), Ok(()), "{}", setting.field);
+            assert_eq!(settings.validate(), Ok(()), "{}", setting.name);
         }
     }
 }
@@ -180,57 +244,51 @@
     error: SettingsError,
 }
 
-fn structural_faults() -> Vec<Fault> {
-    vec![
-        Fault {
-            what: "no classes",
-            introduce: |settings| settings.classes.clear(),
-            error: SettingsError::NoClasses,
+const STRUCTURAL_FAULTS: [Fault; 6] = [
+    Fault {
+        what: "no classes",
+        introduce: |settings| settings.classes.clear(),
+        error: SettingsError::NoClasses,
+    },
+    Fault {
+        what: "no gateways",
+        introduce: |settings| settings.gateway_count = 0,
+        error: SettingsError::NoGateways,
+    },
+    Fault {
+        what: "no latency objective",
+        introduce: |settings| settings.classes[1].latency_objective = Milliseconds(0.0),
+        error: SettingsError::NoLatencyObjective {
+            class: ClassIndex(1),
         },
-        Fault {
-            what: "no gateways",
-            introduce: |settings| {
-                settings.gateway_count = 0;
-            },
-            error: SettingsError::NoGateways,
+    },
+    Fault {
+        what: "a latency objective of negative zero",
+        introduce: |settings| settings.classes[4].latency_objective = Milliseconds(-0.0),
+        error: SettingsError::NoLatencyObjective {
+            class: ClassIndex(4),
         },
-        Fault {
-            what: "no latency objective",
-            introduce: |settings| {
-                settings.classes[1].latency_objective_ms = 0.0;
-            },
-            error: SettingsError::NoLatencyObjective { class: 1 },
+    },
+    Fault {
+        what: "a keyed class without a window",
+        introduce: |settings| settings.classes[3].deduplication_window = Milliseconds(0.0),
+        error: SettingsError::NoDeduplicationWindow {
+            class: ClassIndex(3),
         },
-        Fault {
-            what: "a latency objective of negative zero",
-            introduce: |settings| {
-                settings.classes[4].latency_objective_ms = -0.0;
-            },
-            error: SettingsError::NoLatencyObjective { class: 4 },
+    },
+    Fault {
+        what: "a rate without a burst",
+        introduce: |settings| settings.plans[1].burst = Tokens(0.0),
+        error: SettingsError::RateWithoutBurst {
+            plan: PlanIndex(1),
+            refill_rate: TokensPerSecond(6.5),
         },
-        Fault {
-            what: "a keyed class without a window",
-            introduce: |settings| {
-                settings.classes[3].deduplication_window_ms = 0.0;
-            },
-            error: SettingsError::NoDeduplicationWindow { class: 3 },
-        },
-        Fault {
-            what: "a rate without a burst",
-            introduce: |settings| {
-                settings.plans[1].burst = 0.0;
-            },
-            error: SettingsError::RateWithoutBurst {
-                plan: 1,
-                refill_rate: 6.5,
-            },
-        },
-    ]
-}
+    },
+];
 
 #[test]
 fn structural_faults_are_reported_where_they_are() {
-    for fault in structural_faults() {
+    for fault in STRUCTURAL_FAULTS {
         let mut settings = complete_settings();
         (fault.introduce)(&mut settings);
         let text = fault.error.to_string();
@@ -251,14 +309,14 @@
     let accepted: [(&str, SettingsChange); 8] = [
         ("no plans", |settings| settings.plans.clear()),
         ("no rate and no burst", |settings| {
-            settings.plans[0].refill_rate = 0.0;
-            settings.plans[0].burst = 0.0;
+            settings.plans[0].refill_rate = TokensPerSecond(0.0);
+            settings.plans[0].burst = Tokens(0.0);
         }),
         ("no window of an idempotent class", |settings| {
-            settings.classes[0].deduplication_window_ms = 0.0;
+            settings.classes[0].deduplication_window = Milliseconds(0.0);
         }),
         ("no window of a non-idempotent class", |settings| {
-            settings.classes[1].deduplication_window_ms = 0.0;
+            settings.classes[1].deduplication_window = Milliseconds(0.0);
         }),
         ("no limit of attempts", |settings| {
             settings.max_attempts = 0;
@@ -267,10 +325,10 @@
             settings.gateway = GatewayId(99);
         }),
         ("a negative greatest cost", |settings| {
-            settings.max_request_cost = -1.0;
+            settings.max_request_cost = Tokens(-1.0);
         }),
         ("a greatest cost that is not a number", |settings| {
-            settings.max_request_cost = f64::NAN;
+            settings.max_request_cost = Tokens(f64::NAN);
         }),
     ];
     for (what, change) in accepted {
@@ -283,9 +341,9 @@
 #[test]
 fn the_greatest_cost_has_a_default() {
     let mut settings = complete_settings();
-    assert_eq!(settings.largest_request_cost(), 9.0);
+    assert_eq!(settings.largest_request_cost(), Tokens(9.0));
     for unstated in [0.0, -1.0, f64::NAN] {
-        settings.max_request_cost = unstated;
-        assert_eq!(settings.largest_request_cost(), 1e6);
+        settings.max_request_cost = Tokens(unstated);
+        assert_eq!(settings.largest_request_cost(), Tokens(1e6));
     }
 }
