--- a/src/units.rs
+++ b/src/units.rs
@@ -13,65 +13,87 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// A duration in milliseconds. It may be negative: the distance to a point in time that has passed.
-#[derive(
-    Debug,
-    Display,
-    Clone,
-    Copy,
-    PartialEq,
-    PartialOrd,
-    Default,
-    Add,
-    AddAssign,
-    Sub,
-    SubAssign,
-    Neg,
-    Sum,
-    Mul,
-    MulAssign,
-    Div,
-    DivAssign,
-)]
-#[display("{_0} ms")]
-pub struct Milliseconds(pub f64);
+/// What all quantities have: the value 0, the value as a number, and the comparison of two values.
+macro_rules! impl_quantity {
+    ($quantity:ident) => {
+        impl $quantity {
+            /// The value 0.
+            pub const ZERO: $quantity = $quantity(0.0);
+
+            /// The value as a number, in the unit of the type.
+            #[must_use]
+            pub const fn as_f64(self) -> f64 {
+                self.0
+            }
+
+            /// The lesser of two values.
+            #[must_use]
+            pub fn min(self, other: $quantity) -> $quantity {
+                $quantity(self.0.min(other.0))
+            }
+
+            /// The greater of two values.
+            #[must_use]
+            pub fn max(self, other: $quantity) -> $quantity {
+                $quantity(self.0.max(other.0))
+            }
+        }
+    };
+}
 
-impl Milliseconds {
-    /// No time at all.
-    pub const ZERO: Milliseconds = Milliseconds(0.0);
-    /// Longer than any duration.
-    pub const INFINITY: Milliseconds = Milliseconds(f64::INFINITY);
+/// A quantity whose values can be added, subtracted, scaled and unlimited.
+macro_rules! amount {
+    ($(#[$attribute:meta])* $quantity:ident) => {
+        $(#[$attribute])*
+        #[derive(
+            Debug, Clone, Copy, PartialEq, PartialOrd, Default, Display,
+            Add, AddAssign, Sub, SubAssign, Neg, Sum, Mul, MulAssign, Div, DivAssign,
+        )]
+        pub struct $quantity(pub f64);
+
+        impl_quantity!($quantity);
+
+        impl $quantity {
+            /// More than any finite value.
+            pub const INFINITY: $quantity = $quantity(f64::INFINITY);
+
+            /// Whether the value is neither infinite nor not a number.
+            #[must_use]
+            pub fn is_finite(self) -> bool {
+                self.0.is_finite()
+            }
+        }
+    };
+}
 
-    /// The duration as a number of milliseconds.
-    #[must_use]
-    pub const fn as_f64(self) -> f64 {
-        self.0
-    }
+amount! {
+    /// A duration in milliseconds. It is negative for the distance to a point in time that has passed.
+    Milliseconds
+}
 
-    /// The shorter of two durations.
-    #[must_use]
-    pub fn min(self, other: Milliseconds) -> Milliseconds {
-        Milliseconds(self.0.min(other.0))
-    }
+amount! {
+    /// An amount of quota tokens: the cost of a request, the level of a bucket. It is negative for a debt or a refund.
+    Tokens
+}
 
-    /// The longer of two durations.
-    #[must_use]
-    pub fn max(self, other: Milliseconds) -> Milliseconds {
-        Milliseconds(self.0.max(other.0))
-    }
+amount! {
+    /// A rate in quota tokens per second.
+    TokensPerSecond
+}
+
+/// A point in time: milliseconds on the caller's clock, which has no particular origin and only moves forward.
+#[derive(Debug, Display, Clone, Copy, PartialEq, PartialOrd, Default)]
+pub struct Timestamp(pub f64);
 
+impl_quantity!(Timestamp);
+
+impl Milliseconds {
     /// The duration, rounded up to a whole number of milliseconds.
     #[must_use]
     pub fn ceil(self) -> Milliseconds {
         Milliseconds(self.0.ceil())
     }
 
-    /// Whether the duration is neither infinite nor not a number.
-    #[must_use]
-    pub fn is_finite(self) -> bool {
-        self.0.is_finite()
-    }
-
     /// How many times as long as `other` this duration is.
     #[must_use]
     pub fn ratio_to(self, other: Milliseconds) -> f64 {
@@ -79,38 +101,44 @@
     }
 }
 
-/// A point in time: milliseconds on the caller's clock, which has no particular origin and only moves forward.
-#[derive(Debug, Display, Clone, Copy, PartialEq, PartialOrd, Default)]
-#[display("{_0} ms")]
-pub struct Timestamp(pub f64);
-
-impl Timestamp {
-    /// The origin of the caller's clock. In records of something that may never have happened it means never.
-    pub const ZERO: Timestamp = Timestamp(0.0);
-    /// Before any point in time.
-    pub const DISTANT_PAST: Timestamp = Timestamp(f64::NEG_INFINITY);
-    /// After any point in time.
-    pub const DISTANT_FUTURE: Timestamp = Timestamp(f64::INFINITY);
+impl Tokens {
+    /// The amount, limited to a range.
+    ///
+    /// # Panics
+    /// When `least` is greater than `most`, or one of them is not a number.
+    #[must_use]
+    pub fn clamp(self, least: Tokens, most: Tokens) -> Tokens {
+        Tokens(self.0.clamp(least.0, most.0))
+    }
 
-    /// The point in time as milliseconds on the caller's clock.
+    /// The rate at which this amount is used up within `duration`.
     #[must_use]
-    pub const fn as_f64(self) -> f64 {
-        self.0
+    pub fn per(self, duration: Milliseconds) -> TokensPerSecond {
+        TokensPerSecond(self.0 * MILLISECONDS_PER_SECOND / duration.0)
     }
 
-    /// The earlier of two points in time.
+    /// How long it takes to fill this amount at `rate`.
     #[must_use]
-    pub fn min(self, other: Timestamp) -> Timestamp {
-        Timestamp(self.0.min(other.0))
+    pub fn time_at(self, rate: TokensPerSecond) -> Milliseconds {
+        Milliseconds(MILLISECONDS_PER_SECOND * self.0 / rate.0)
     }
+}
 
-    /// The later of two points in time.
+impl TokensPerSecond {
+    /// The tokens that flow within `duration`.
     #[must_use]
-    pub fn max(self, other: Timestamp) -> Timestamp {
-        Timestamp(self.0.max(other.0))
+    pub fn over(self, duration: Milliseconds) -> Tokens {
+        Tokens(self.0 * duration.0 / MILLISECONDS_PER_SECOND)
     }
 }
 
+impl Timestamp {
+    /// Before any point in time.
+    pub const DISTANT_PAST: Timestamp = Timestamp(f64::NEG_INFINITY);
+    /// After any point in time.
+    pub const DISTANT_FUTURE: Timestamp = Timestamp(f64::INFINITY);
+}
+
 impl ops::Add<Milliseconds> for Timestamp {
     type Output = Timestamp;
 
@@ -140,123 +168,3 @@
         Milliseconds(self.0 - earlier.0)
     }
 }
-
-/// An amount of quota tokens: the cost of a request, the level of a bucket. Negative for a debt or a refund.
-#[derive(
-    Debug,
-    Display,
-    Clone,
-    Copy,
-    PartialEq,
-    PartialOrd,
-    Default,
-    Add,
-    AddAssign,
-    Sub,
-    SubAssign,
-    Neg,
-    Sum,
-    Mul,
-    MulAssign,
-    Div,
-    DivAssign,
-)]
-pub struct Tokens(pub f64);
-
-impl Tokens {
-    /// No tokens.
-    pub const ZERO: Tokens = Tokens(0.0);
-    /// More than any amount.
-    pub const INFINITY: Tokens = Tokens(f64::INFINITY);
-
-    /// The number of tokens.
-    #[must_use]
-    pub const fn as_f64(self) -> f64 {
-        self.0
-    }
-
-    /// The smaller of two amounts.
-    #[must_use]
-    pub fn min(self, other: Tokens) -> Tokens {
-        Tokens(self.0.min(other.0))
-    }
-
-    /// The larger of two amounts.
-    #[must_use]
-    pub fn max(self, other: Tokens) -> Tokens {
-        Tokens(self.0.max(other.0))
-    }
-
-    /// The amount, limited to a range.
-    ///
-    /// # Panics
-    /// When `least` is greater than `most`, or one of them is not a number.
-    #[must_use]
-    pub fn clamp(self, least: Tokens, most: Tokens) -> Tokens {
-        Tokens(self.0.clamp(least.0, most.0))
-    }
-
-    /// The rate at which this amount is used up within `duration`.
-    #[must_use]
-    pub fn per(self, duration: Milliseconds) -> TokensPerSecond {
-        TokensPerSecond(self.0 * MILLISECONDS_PER_SECOND / duration.0)
-    }
-
-    /// How long it takes to fill this amount at `rate`.
-    #[must_use]
-    pub fn time_at(self, rate: TokensPerSecond) -> Milliseconds {
-        Milliseconds(MILLISECONDS_PER_SECOND * self.0 / rate.0)
-    }
-}
-
-/// A rate in quota tokens per second.
-#[derive(
-    Debug,
-    Display,
-    Clone,
-    Copy,
-    PartialEq,
-    PartialOrd,
-    Default,
-    Add,
-    AddAssign,
-    Sub,
-    SubAssign,
-    Sum,
-    Mul,
-    MulAssign,
-    Div,
-    DivAssign,
-)]
-pub struct TokensPerSecond(pub f64);
-
-impl TokensPerSecond {
-    /// Nothing flows.
-    pub const ZERO: TokensPerSecond = TokensPerSecond(0.0);
-    /// A rate without limit.
-    pub const INFINITY: TokensPerSecond = TokensPerSecond(f64::INFINITY);
-
-    /// The number of tokens per second.
-    #[must_use]
-    pub const fn as_f64(self) -> f64 {
-        self.0
-    }
-
-    /// The lower of two rates.
-    #[must_use]
-    pub fn min(self, other: TokensPerSecond) -> TokensPerSecond {
-        TokensPerSecond(self.0.min(other.0))
-    }
-
-    /// The higher of two rates.
-    #[must_use]
-    pub fn max(self, other: TokensPerSecond) -> TokensPerSecond {
-        TokensPerSecond(self.0.max(other.0))
-    }
-
-    /// The tokens that flow within `duration`.
-    #[must_use]
-    pub fn over(self, duration: Milliseconds) -> Tokens {
-        Tokens(self.0 * duration.0 / MILLISECONDS_PER_SECOND)
-    }
-}
