--- a/src/gateway/event_loop/attempt.rs
+++ b/src/gateway/event_loop/attempt.rs
@@ -113,7 +113,7 @@
             attempt: self.id.number,
             endpoint: self.endpoint,
             result,
-            latency_ms: to_milliseconds(self.started_at.elapsed()).as_f64(),
+            latency: to_milliseconds(self.started_at.elapsed()),
             request_ended,
             metered_use: None,
             actual_cost: reports.actual_cost,
--- a/src/gateway/event_loop/endpoint_translator.rs
+++ b/src/gateway/event_loop/endpoint_translator.rs
@@ -1,7 +1,10 @@
 //! Translates the endpoints of discovery into those of the decision engine.
 
 use crate::gateway::discovery::{EndpointUpdate, ListedEndpoint};
-use crate::{Endpoint, EndpointListKind, EndpointName, EndpointState, Event};
+use crate::{
+    CellId, Endpoint, EndpointListKind, EndpointName, EndpointState, Event, HardwareId, Timestamp,
+    ZoneId,
+};
 
 /// Knows the numbers of the names that discovery uses: the engine numbers zones and hardware models in the order of
 /// the settings.
@@ -49,12 +52,12 @@
     fn engine_endpoint(&self, listed: &ListedEndpoint) -> Endpoint {
         Endpoint {
             name: listed.name.as_str().into(),
-            zone: index_of(&self.zones, &listed.zone),
-            cell: listed.cell,
-            hardware: index_of(&self.hardware_models, &listed.hardware),
+            zone: ZoneId(index_of(&self.zones, &listed.zone)),
+            cell: CellId(listed.cell),
+            hardware: HardwareId(index_of(&self.hardware_models, &listed.hardware)),
             weight: listed.weight,
             state: listed.state,
-            started_at_ms: listed.started_at_ms,
+            started_at: Timestamp(listed.started_at_ms),
         }
     }
 }
@@ -63,12 +66,12 @@
 fn removed_endpoint(name: &EndpointName) -> Endpoint {
     Endpoint {
         name: name.clone(),
-        zone: 0,
-        cell: 0,
-        hardware: 0,
+        zone: ZoneId(0),
+        cell: CellId(0),
+        hardware: HardwareId(0),
         weight: 1.0,
         state: EndpointState::Removed,
-        started_at_ms: 0.0,
+        started_at: Timestamp::ZERO,
     }
 }
 
--- a/src/gateway/event_loop/engine_actions.rs
+++ b/src/gateway/event_loop/engine_actions.rs
@@ -1,8 +1,8 @@
 //! The dispatcher of the engine's actions.
 
+use crate::Action;
 use crate::gateway::event_loop::timers::Timer;
 use crate::gateway::event_loop::{EventLoop, gateway_answers};
-use crate::{Action, Milliseconds, Timestamp};
 use std::time::Instant;
 
 /// Carries out one action. `now` is the time of the event that led to it.
@@ -11,16 +11,16 @@
         Action::Forward {
             request,
             endpoint,
-            deadline_ms,
+            deadline,
         } => {
-            let deadline = event_loop.clock.instant(Timestamp(deadline_ms));
+            let deadline = event_loop.clock.instant(deadline);
             event_loop.start_attempt(request, endpoint, now, deadline);
         }
         Action::Reject {
             request,
-            retry_after_ms,
+            retry_after,
         } => {
-            let line = gateway_answers::rejection(Milliseconds(retry_after_ms));
+            let line = gateway_answers::rejection(retry_after);
             event_loop.answer(request, &line);
         }
         Action::Fail { request } => event_loop.answer(request, gateway_answers::FAILED),
@@ -29,8 +29,8 @@
                 gossip.send(to, &text);
             }
         }
-        Action::SetTimer { token, delay_ms } => {
-            let expires_at = event_loop.clock.timestamp(now) + Milliseconds(delay_ms);
+        Action::SetTimer { token, delay } => {
+            let expires_at = event_loop.clock.timestamp(now) + delay;
             let expires_at = event_loop.clock.instant(expires_at);
             event_loop.schedule(expires_at, Timer::Engine { token });
         }
--- a/src/gateway/event_loop/engine_queue.rs
+++ b/src/gateway/event_loop/engine_queue.rs
@@ -45,9 +45,9 @@
             return None;
         };
         let made_at = Instant::now();
-        let now_ms = clock.timestamp(made_at).as_f64();
+        let now = clock.timestamp(made_at);
         Some(Decision {
-            actions: self.engine.handle_event(now_ms, event),
+            actions: self.engine.handle_event(now, event),
             made_at,
         })
     }
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -11,7 +11,7 @@
 use crate::gateway::event_loop::malformed_responses::MalformedResponses;
 use crate::gateway::event_loop::response_outcome::{ResponseOutcome, ResponseReports};
 use crate::gateway::event_loop::timers::Timer;
-use crate::{AttemptOutcome, AttemptResult, EndpointName, RequestId, Settings};
+use crate::{AttemptOutcome, AttemptResult, EndpointName, RequestId, Settings, Tokens};
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
@@ -21,8 +21,8 @@
     pub requests: InFlightRequests,
     pub endpoints: EndpointPool,
     malformed_responses: MalformedResponses,
-    /// No request costs more than this, in tokens.
-    largest_request_cost: f64,
+    /// No request costs more than this.
+    largest_request_cost: Tokens,
 }
 
 /// What a [`Forwarder`] may use.
--- a/src/gateway/event_loop/in_flight_request.rs
+++ b/src/gateway/event_loop/in_flight_request.rs
@@ -50,7 +50,7 @@
             cost: command.cost,
             shard_start: GatewayId(command.shard_start),
             shard_size: command.shard_size,
-            client_deadline_ms: client_deadline.as_f64(),
+            client_deadline,
             is_retry: command.is_retry,
         }
     }
--- a/src/gateway/event_loop/in_flight_requests.rs
+++ b/src/gateway/event_loop/in_flight_requests.rs
@@ -7,9 +7,7 @@
 use crate::gateway::engine_time::to_duration;
 use crate::gateway::event_loop::in_flight_request::InFlightRequest;
 use crate::gateway::event_loop::response_outcome::ResponseReports;
-use crate::{
-    AttemptOutcome, AttemptResult, EndpointName, Idempotency, Milliseconds, RequestClass, RequestId,
-};
+use crate::{AttemptOutcome, AttemptResult, EndpointName, Idempotency, RequestClass, RequestId};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -200,7 +198,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return false;
         };
-        let window = self.deduplication_windows[request.command().class];
+        let window = self.deduplication_windows[request.command().class.0];
         if !request.is_within_deduplication_window(window, now) {
             return false;
         }
@@ -275,5 +273,5 @@
 
 fn deduplication_window(class: &RequestClass) -> Option<Duration> {
     matches!(class.idempotency, Idempotency::Keyed(_))
-        .then(|| to_duration(Milliseconds(class.deduplication_window_ms)))
+        .then(|| to_duration(class.deduplication_window))
 }
--- a/src/gateway/event_loop/response_outcome.rs
+++ b/src/gateway/event_loop/response_outcome.rs
@@ -1,7 +1,7 @@
 //! What a response of an endpoint means for the attempt that it ends.
 
 use crate::gateway::endpoints::EndpointResponse;
-use crate::{AttemptResult, LoadReport};
+use crate::{AttemptResult, LoadReport, Tokens};
 
 /// The outcome that a response gives its attempt.
 pub(super) struct ResponseOutcome {
@@ -13,13 +13,13 @@
 #[derive(Clone, Copy, Default)]
 pub(super) struct ResponseReports {
     pub load_report: Option<LoadReport>,
-    /// The actual cost in tokens.
-    pub actual_cost: Option<f64>,
+    /// The actual cost of the request.
+    pub actual_cost: Option<Tokens>,
 }
 
 impl ResponseOutcome {
     /// Interprets a response. An actual cost that no request can have, because it is above `largest_cost`, is ignored.
-    pub fn new(response: &EndpointResponse<'_>, largest_cost: f64) -> ResponseOutcome {
+    pub fn new(response: &EndpointResponse<'_>, largest_cost: Tokens) -> ResponseOutcome {
         match *response {
             EndpointResponse::Success {
                 actual_cost,
@@ -29,7 +29,8 @@
                 result: AttemptResult::Success,
                 reports: ResponseReports {
                     load_report,
-                    actual_cost: actual_cost.filter(|cost| *cost > 0.0 && *cost <= largest_cost),
+                    actual_cost: actual_cost
+                        .filter(|cost| *cost > Tokens::ZERO && *cost <= largest_cost),
                 },
             },
             EndpointResponse::Overloaded { load_report } => {
--- a/tests/gateway/client_requests.rs
+++ b/tests/gateway/client_requests.rs
@@ -2,6 +2,7 @@
 
 use crate::client_listener::*;
 use crate::support::*;
+use marlshelf::{ClassIndex, PlanIndex, Tokens};
 use std::time::Duration;
 
 /// The bytes of an invalid request, and the error in its response.
@@ -125,11 +126,11 @@
         let request = &received[0].request;
         assert_eq!(&*request.tenant, TENANT);
         assert_eq!(request.client_request_id, 0x9b1f_03aa_5c7e_2d41);
-        assert_eq!((request.class, request.plan), (2, 0));
+        assert_eq!((request.class, request.plan), (ClassIndex(2), PlanIndex(0)));
         assert_eq!((request.shard_start, request.shard_size), (1, 2));
         assert_eq!(
             (request.cost, request.wait),
-            (2.5, Duration::from_millis(700))
+            (Tokens(2.5), Duration::from_millis(700))
         );
         assert!(request.is_retry);
     });
