--- a/src/gateway/clients/connection_state.rs
+++ b/src/gateway/clients/connection_state.rs
@@ -167,8 +167,8 @@
             InputState::TimedOut => true,
             InputState::Ended => return false,
         };
-        let is_idle_too_long = self.input == InputState::BetweenCommands
-            && exceeds(self.last_active, idle_timeout);
+        let is_idle_too_long =
+            self.input == InputState::BetweenCommands && exceeds(self.last_active, idle_timeout);
         if is_command_late {
             self.input = InputState::TimedOut;
         } else if is_idle_too_long {
--- a/src/gateway/clients/connections.rs
+++ b/src/gateway/clients/connections.rs
@@ -1,6 +1,7 @@
 //! The table of all client connections: its size, the eviction of idle connections, and their expiry.
 
-use super::connection::{ClientConnection, CloseWhen};
+use super::connection::ClientConnection;
+use super::connection_state::CloseWhen;
 use crate::RequestId;
 use crate::gateway::memory_budget::MemoryBudget;
 use std::cell::{Cell, RefCell};
--- a/src/gateway/clients/mod.rs
+++ b/src/gateway/clients/mod.rs
@@ -9,6 +9,7 @@
 
 mod connection;
 mod connection_error;
+mod connection_state;
 mod connections;
 mod fields;
 mod listener;
--- a/src/gateway/clients/responses.rs
+++ b/src/gateway/clients/responses.rs
@@ -1,5 +1,6 @@
 //! The responses of one connection: their order, and the bytes that the socket has not accepted yet.
 
+use super::connection_state::OutputState;
 use super::socket::ClientSocket;
 use crate::RequestId;
 use crate::gateway::memory_budget::MemoryReservation;
@@ -9,33 +10,22 @@
 /// A connection whose client does not read this many bytes of responses is closed.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
 
-/// The place of a response in the order of its connection.
-enum Slot {
+/// A response in the order of its connection.
+enum OrderedResponse {
     /// The request has no response yet.
     Pending(RequestId),
     /// The response waits for an earlier one.
     Ready(Vec<u8>),
 }
 
-/// Whether the socket accepts what is written.
-#[derive(Clone, Copy)]
-enum WriteState {
-    /// Everything was accepted.
-    Writable,
-    /// Some bytes were not accepted. The last ones that were, or the first that were not, date from `since`.
-    Blocked { since: Instant },
-    /// The connection failed, or the client left too much unread.
-    Failed,
-}
-
 /// The responses of one connection, given in any order and written in the order of the requests.
 pub(super) struct Responses {
-    slots: VecDeque<Slot>,
+    queue: VecDeque<OrderedResponse>,
     /// Bytes that the socket has not accepted yet.
     unsent: Vec<u8>,
     /// Bytes of responses that wait for an earlier one.
     ready_bytes: usize,
-    state: WriteState,
+    state: OutputState,
     memory: MemoryReservation,
     /// Bytes that are allowed also while the memory budget of all connections is exhausted.
     always_allowed: usize,
@@ -44,10 +34,10 @@
 impl Responses {
     pub(super) fn new(memory: MemoryReservation, always_allowed: usize) -> Responses {
         Responses {
-            slots: VecDeque::new(),
+            queue: VecDeque::new(),
             unsent: Vec::new(),
             ready_bytes: 0,
-            state: WriteState::Writable,
+            state: OutputState::Writable,
             memory,
             always_allowed,
         }
@@ -55,12 +45,12 @@
 
     /// The number of responses that are pending, or wait for a pending one.
     pub(super) fn len(&self) -> usize {
-        self.slots.len()
+        self.queue.len()
     }
 
     /// Whether every response was given and accepted by the socket.
     pub(super) fn is_idle(&self) -> bool {
-        self.slots.is_empty() && self.unsent.is_empty()
+        self.queue.is_empty() && self.unsent.is_empty()
     }
 
     /// Whether some bytes wait for the socket to accept them.
@@ -70,36 +60,37 @@
 
     /// Whether no response can be delivered any more.
     pub(super) fn has_failed(&self) -> bool {
-        matches!(self.state, WriteState::Failed)
+        self.state.has_failed()
     }
 
     /// Whether the socket has accepted nothing for longer than `limit`.
     pub(super) fn is_stalled(&self, now: Instant, limit: Duration) -> bool {
-        matches!(self.state, WriteState::Blocked { since } if now.saturating_duration_since(since) > limit)
+        self.state.is_stalled(now, limit)
     }
 
     /// Gives up all responses: nothing more is written.
     pub(super) fn fail(&mut self) {
-        self.state = WriteState::Failed;
+        self.state.fail();
     }
 
-    /// Adds a place for the response to a request.
+    /// Expects the response to a request, behind all that were expected before.
     pub(super) fn expect(&mut self, request: RequestId) {
-        self.slots.push_back(Slot::Pending(request));
+        self.queue.push_back(OrderedResponse::Pending(request));
     }
 
     /// Gives the response to a request. Nothing happens if none is pending.
     pub(super) fn complete(&mut self, request: RequestId, response: &[u8], socket: &ClientSocket) {
-        if matches!(self.slots.front(), Some(Slot::Pending(first)) if *first == request) {
-            self.slots.pop_front();
+        if matches!(self.queue.front(), Some(OrderedResponse::Pending(first)) if *first == request)
+        {
+            self.queue.pop_front();
             self.write(response, socket);
             self.write_ready(socket);
-        } else if let Some(slot) = self
-            .slots
+        } else if let Some(entry) = self
+            .queue
             .iter_mut()
-            .find(|slot| matches!(slot, Slot::Pending(pending) if *pending == request))
+            .find(|entry| matches!(entry, OrderedResponse::Pending(pending) if *pending == request))
         {
-            *slot = Slot::Ready(response.to_vec());
+            *entry = OrderedResponse::Ready(response.to_vec());
             self.ready_bytes += response.len();
         }
         self.enforce_limits();
@@ -107,10 +98,11 @@
 
     /// Adds a response that is known at once, behind all that were expected before.
     pub(super) fn push(&mut self, response: &[u8], socket: &ClientSocket) {
-        if self.slots.is_empty() {
+        if self.queue.is_empty() {
             self.write(response, socket);
         } else {
-            self.slots.push_back(Slot::Ready(response.to_vec()));
+            self.queue
+                .push_back(OrderedResponse::Ready(response.to_vec()));
             self.ready_bytes += response.len();
         }
         self.enforce_limits();
@@ -122,13 +114,11 @@
             Ok(0) => {}
             Ok(accepted) if accepted == self.unsent.len() => {
                 self.unsent = Vec::new();
-                self.set_unless_failed(WriteState::Writable);
+                self.state.accepted_everything();
             }
             Ok(accepted) => {
                 self.unsent.drain(..accepted);
-                self.set_unless_failed(WriteState::Blocked {
-                    since: Instant::now(),
-                });
+                self.state.accepted_part();
             }
             Err(_) => self.fail(),
         }
@@ -136,21 +126,21 @@
             .set(self.unsent.len() + self.ready_bytes, self.always_allowed);
     }
 
-    /// Removes all places, and returns the requests that have no response.
+    /// Stops expecting responses, and returns the requests that have no response.
     pub(super) fn take_pending(&mut self) -> impl Iterator<Item = RequestId> + use<> {
-        std::mem::take(&mut self.slots)
+        std::mem::take(&mut self.queue)
             .into_iter()
-            .filter_map(|slot| match slot {
-                Slot::Pending(request) => Some(request),
-                Slot::Ready(_) => None,
+            .filter_map(|entry| match entry {
+                OrderedResponse::Pending(request) => Some(request),
+                OrderedResponse::Ready(_) => None,
             })
     }
 
     /// Writes the responses that waited for the first one, in one call.
     fn write_ready(&mut self, socket: &ClientSocket) {
         let mut bytes = Vec::new();
-        while matches!(self.slots.front(), Some(Slot::Ready(_)))
-            && let Some(Slot::Ready(response)) = self.slots.pop_front()
+        while matches!(self.queue.front(), Some(OrderedResponse::Ready(_)))
+            && let Some(OrderedResponse::Ready(response)) = self.queue.pop_front()
         {
             self.ready_bytes -= response.len();
             bytes.extend_from_slice(&response);
@@ -171,10 +161,8 @@
             0
         };
         self.unsent.extend_from_slice(&bytes[accepted..]);
-        if !self.unsent.is_empty() && matches!(self.state, WriteState::Writable) {
-            self.state = WriteState::Blocked {
-                since: Instant::now(),
-            };
+        if !self.unsent.is_empty() {
+            self.state.blocked();
         }
     }
 
@@ -186,10 +174,4 @@
             self.fail();
         }
     }
-
-    fn set_unless_failed(&mut self, state: WriteState) {
-        if !self.has_failed() {
-            self.state = state;
-        }
-    }
 }
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -2,6 +2,7 @@
 
 use super::connection::{ALWAYS_ALLOWED_BYTES, ClientConnection};
 use super::connection_error::ConnectionError;
+use super::connection_state::{Awaited, NextStep};
 use super::request::ClientRequest;
 use super::schema::RequestSchema;
 use super::{ClientEvent, ClientEventHandler};
@@ -31,12 +32,12 @@
     just_read: bool,
 }
 
-/// What came of a turn of starting commands.
-enum Turn {
+/// What came of the attempt to start commands.
+enum CommandBatch {
     /// At least one command was started.
     Started,
     /// The input holds no whole command.
-    NoWholeCommand,
+    Incomplete,
 }
 
 impl ConnectionTask {
@@ -72,13 +73,13 @@
                     return Ok(());
                 }
                 match self.start_commands()? {
-                    Turn::Started => {
+                    CommandBatch::Started => {
                         if !self.received.is_empty() {
                             yield_now().await;
                         }
                         continue;
                     }
-                    Turn::NoWholeCommand => self.connection.partial_command_received(),
+                    CommandBatch::Incomplete => self.connection.partial_command_received(),
                 }
             }
             if self.connection.has_input_ended() {
@@ -87,11 +88,14 @@
             if !self.connection.reserve_input(self.received.capacity()) {
                 return Err(ConnectionError::OutOfMemory);
             }
-            if self.connection.has_timed_out() {
-                return Err(ConnectionError::RequestTimeout);
-            }
-            if self.connection.should_close() || self.wait().await.is_break() {
-                return Ok(());
+            match self.connection.next_step() {
+                NextStep::RejectLateCommand => return Err(ConnectionError::RequestTimeout),
+                NextStep::Close => return Ok(()),
+                NextStep::Wait => {
+                    if self.wait().await.is_break() {
+                        return Ok(());
+                    }
+                }
             }
         }
     }
@@ -107,7 +111,11 @@
         let accepts_requests = !connection.is_closing() || connection.pending_responses() == 0;
         let reads = self.has_pipeline_capacity() && accepts_requests;
         let has_unsent = connection.has_unsent();
-        connection.set_waits_for_answer(!reads);
+        connection.set_awaited(if reads {
+            Awaited::Input
+        } else {
+            Awaited::Answer
+        });
         tokio::select! {
             () = socket.disconnected(), if !reads => return ControlFlow::Break(()),
             readiness = socket.readable(), if reads => {
@@ -137,7 +145,7 @@
     }
 
     /// Starts whole commands of the input, as many as a turn and the pipeline allow.
-    fn start_commands(&mut self) -> Result<Turn, ProtocolError> {
+    fn start_commands(&mut self) -> Result<CommandBatch, ProtocolError> {
         let mut consumed = 0;
         let mut started = 0;
         let result = loop {
@@ -157,9 +165,9 @@
         self.consume(consumed);
         result.map(|()| {
             if consumed > 0 {
-                Turn::Started
+                CommandBatch::Started
             } else {
-                Turn::NoWholeCommand
+                CommandBatch::Incomplete
             }
         })
     }
@@ -229,7 +237,7 @@
         let connection = &self.connection;
         let socket = connection.socket();
         connection.respond(format!("-ERR protocol error: {error}\r\n").as_bytes());
-        connection.set_waits_for_answer(true);
+        connection.set_awaited(Awaited::Answer);
         while !connection.is_idle() && !connection.has_failed() {
             let has_unsent = connection.has_unsent();
             tokio::select! {
