--- a/src/bin/marlshelf-simulator-adapter/host.rs
+++ b/src/bin/marlshelf-simulator-adapter/host.rs
@@ -8,7 +8,7 @@
 use crate::instances::Instances;
 use crate::replies::Reply;
 use crate::translation::{self, InstanceEvent};
-use marlshelf::{Endpoint, Event};
+use marlshelf::{Endpoint, Event, Timestamp};
 use std::collections::BTreeMap;
 
 /// All instances of this process, and the batch that is being read.
@@ -89,17 +89,14 @@
             .get(&frame.list)
             .ok_or(FrameError::UnknownEndpointList(frame.list))?;
         let endpoints = entries.iter().map(Endpoint::from).collect();
-        self.handle_event(InstanceEvent {
-            instance: frame.instance,
-            event: Event::EndpointsChanged { kind, endpoints },
-        })
+        let event = Event::EndpointsChanged { kind, endpoints };
+        self.handle_event(InstanceEvent::new(frame.instance, event))
     }
 
     /// Hands an event to its instance at the time of the batch.
     fn handle_event(&mut self, event: InstanceEvent) -> Result<(), FrameError> {
         let batch = self.batch.as_mut().ok_or(FrameError::OutsideBatch)?;
-        let now_ms = batch.begin.now_ms;
-        self.instances
-            .handle_event(event, now_ms, &mut batch.output)
+        let now = Timestamp(batch.begin.now_ms);
+        self.instances.handle_event(event, now, &mut batch.output)
     }
 }
--- a/src/bin/marlshelf-simulator-adapter/instances.rs
+++ b/src/bin/marlshelf-simulator-adapter/instances.rs
@@ -3,8 +3,7 @@
 use crate::errors::FrameError;
 use crate::frames::{InstanceName, StartInstance};
 use crate::translation::{self, InstanceEvent};
-use marlshelf::DecisionEngine;
-use marlshelf::Timestamp;
+use marlshelf::{DecisionEngine, Timestamp};
 use std::collections::HashMap;
 
 /// The instances that have been started and not yet stopped.
@@ -46,13 +45,13 @@
     pub fn handle_event(
         &mut self,
         InstanceEvent { instance, event }: InstanceEvent,
-        now_ms: f64,
+        now: Timestamp,
         output: &mut Vec<u8>,
     ) -> Result<(), FrameError> {
         let Some(engine) = self.engines.get_mut(&instance) else {
             return Err(FrameError::UnknownInstance(instance));
         };
-        for action in engine.handle_event(Timestamp(now_ms), event) {
+        for action in engine.handle_event(now, event) {
             translation::reply(&instance, &action).append_to(output)?;
         }
         Ok(())
--- a/src/bin/marlshelf-simulator-adapter/translation.rs
+++ b/src/bin/marlshelf-simulator-adapter/translation.rs
@@ -18,6 +18,13 @@
     pub event: Event,
 }
 
+impl InstanceEvent {
+    /// An event of the instance with this name.
+    pub fn new(instance: InstanceName, event: Event) -> InstanceEvent {
+        InstanceEvent { instance, event }
+    }
+}
+
 /// Which endpoints an answer of discovery contains. `None` if discovery has failed and sends no list.
 pub fn endpoint_list_kind(form: EndpointListForm) -> Option<EndpointListKind> {
     match form {
@@ -65,10 +72,7 @@
             client_deadline: Timestamp(frame.client_deadline_ms),
             is_retry: frame.flags & RETRY_FLAG != 0,
         });
-        InstanceEvent {
-            instance: frame.instance,
-            event,
-        }
+        InstanceEvent::new(frame.instance, event)
     }
 }
 
@@ -85,10 +89,7 @@
             actual_cost: (frame.actual_cost > 0.0).then_some(Tokens(frame.actual_cost)),
             load_report: frame.load_report.map(LoadReport::from),
         });
-        InstanceEvent {
-            instance: frame.instance,
-            event,
-        }
+        InstanceEvent::new(frame.instance, event)
     }
 }
 
@@ -130,10 +131,7 @@
             ok: frame.status == Status::Success,
             load_report: frame.load_report.map(LoadReport::from),
         };
-        InstanceEvent {
-            instance: frame.instance,
-            event,
-        }
+        InstanceEvent::new(frame.instance, event)
     }
 }
 
@@ -142,10 +140,7 @@
         let event = Event::ClientDisconnected {
             request: RequestId(frame.request),
         };
-        InstanceEvent {
-            instance: frame.instance,
-            event,
-        }
+        InstanceEvent::new(frame.instance, event)
     }
 }
 
@@ -155,10 +150,7 @@
             from: GatewayId(frame.from),
             text: frame.text,
         };
-        InstanceEvent {
-            instance: frame.instance,
-            event,
-        }
+        InstanceEvent::new(frame.instance, event)
     }
 }
 
@@ -167,10 +159,7 @@
         let event = Event::TimerFired {
             token: TimerToken(frame.token),
         };
-        InstanceEvent {
-            instance: frame.instance,
-            event,
-        }
+        InstanceEvent::new(frame.instance, event)
     }
 }
 
--- a/src/settings/document.rs
+++ b/src/settings/document/mod.rs
@@ -6,11 +6,10 @@
 //!
 //! Times are in milliseconds. Costs, bursts and slacks are in quota tokens, and rates in quota tokens per second.
 
-use super::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings, SettingsField};
-use crate::events::{GatewayId, ZoneId};
-use crate::units::{Milliseconds, Tokens, TokensPerSecond};
+mod conversion;
+
+use super::SettingsField;
 use serde::Deserialize;
-use std::time::Duration;
 
 /// How long a connection attempt may take where the settings do not say it.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
@@ -27,13 +26,6 @@
 /// How long a gateway may go without polling discovery where the settings do not say it.
 const DEFAULT_MAX_POLL_INTERVAL_MS: f64 = 10_000.0;
 
-/// The platform sends SIGKILL after SIGTERM no sooner than after the longest deadline of any class, of which it counts
-/// no more than this, and [`TERMINATION_MARGIN_MS`].
-const MAX_TERMINATION_WAIT_MS: f64 = 3000.0;
-
-/// The time that the platform adds to the longest deadline before it sends SIGKILL.
-const TERMINATION_MARGIN_MS: f64 = 700.0;
-
 /// The JSON object of settings that a gateway gets at its start.
 #[derive(Debug, Deserialize)]
 pub struct SettingsDocument {
@@ -228,98 +220,6 @@
     }
 }
 
-impl SettingsDocument {
-    /// The number of gateways in the fleet.
-    #[must_use]
-    pub fn gateway_count(&self) -> u32 {
-        self.gateway_count
-    }
-
-    /// The least time between SIGTERM and SIGKILL.
-    #[must_use]
-    pub fn termination_grace(&self) -> Duration {
-        let longest_deadline_ms = self
-            .classes
-            .iter()
-            .map(|class| class.deadline_ms)
-            .fold(0.0, f64::max);
-        let wait_ms = if longest_deadline_ms > 0.0 {
-            longest_deadline_ms.min(MAX_TERMINATION_WAIT_MS)
-        } else {
-            MAX_TERMINATION_WAIT_MS
-        };
-        Duration::from_secs_f64((wait_ms + TERMINATION_MARGIN_MS) / 1000.0)
-    }
-
-    /// The settings that the decisions depend on. They are not validated yet.
-    #[must_use]
-    pub fn settings(&self) -> Settings {
-        Settings {
-            gateway: GatewayId(self.gateway),
-            gateway_count: self.gateway_count,
-            zone: ZoneId(self.zone),
-            classes: self.classes.iter().map(RequestClass::from).collect(),
-            plans: self.plans.iter().map(Plan::from).collect(),
-            max_attempts: self.limits.max_attempts,
-            gossip_enabled: self.limits.gossip_enabled,
-            max_request_cost: Tokens(self.service.max_request_cost),
-            gossip_intake_per_second: self.service.gossip_intake_per_second,
-            initial_warmth: self.rules.initial_warmth,
-            warmup_duration: Milliseconds(self.rules.warmup_ms),
-            warmup_overload_multiple: self.rules.warmup_overload_multiple,
-        }
-    }
-}
-
-impl From<&ClassDocument> for RequestClass {
-    fn from(class: &ClassDocument) -> RequestClass {
-        RequestClass {
-            priority_weight: class.priority_weight,
-            latency_objective: Milliseconds(class.latency_objective_ms),
-            late_answer_weight: class.late_answer_weight,
-            idempotency: class.idempotency(),
-            deduplication_window: Milliseconds(class.deduplication_window_ms),
-        }
-    }
-}
-
-impl ClassDocument {
-    fn idempotency(&self) -> Idempotency {
-        match self.idempotency {
-            IdempotencyDocument::Idempotent => Idempotency::Idempotent,
-            IdempotencyDocument::NonIdempotent => Idempotency::NonIdempotent,
-            IdempotencyDocument::Keyed => {
-                Idempotency::Keyed(self.deduplication_scope.unwrap_or_default().into())
-            }
-        }
-    }
-}
-
-impl From<DeduplicationScopeDocument> for DeduplicationScope {
-    fn from(scope: DeduplicationScopeDocument) -> DeduplicationScope {
-        match scope {
-            DeduplicationScopeDocument::All => DeduplicationScope::All,
-            DeduplicationScopeDocument::Zone => DeduplicationScope::Zone,
-            DeduplicationScopeDocument::Cell => DeduplicationScope::Cell,
-        }
-    }
-}
-
-impl From<&PlanDocument> for Plan {
-    fn from(plan: &PlanDocument) -> Plan {
-        Plan {
-            refill_rate: TokensPerSecond(plan.refill_rate),
-            burst: Tokens(plan.burst),
-            max_concurrency: plan.max_concurrency,
-            weight: plan.weight,
-            over_quota_penalty: plan.over_quota_penalty,
-            hard_limit_rate: TokensPerSecond(plan.hard_limit_rate),
-            hard_limit_burst: Tokens(plan.hard_limit_burst),
-            hard_limit_slack: Tokens(plan.hard_limit_slack),
-        }
-    }
-}
-
 impl SettingsField {
     /// The key of the setting in the settings document, relative to the class or the plan that it belongs to.
     #[must_use]
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -7,7 +7,7 @@
 
 /// The files that may hold words of the wire: each translates one of its formats.
 const WIRE_EDGES: [&str; 7] = [
-    "src/settings/document.rs",
+    "src/settings/document/",
     "src/bin/marlshelf-simulator-adapter/",
     "src/gateway/clients/schema.rs",
     "src/gateway/clients/fields.rs",
