--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -76,13 +76,8 @@
         if !(MIN_PARTS..=resp::MAX_KEPT_PARTS).contains(&command.part_count()) {
             return Err(RequestError::WrongArgumentCount);
         }
-        let tenant = parse_hex(command.part(TENANT_PART))
-            .filter(|tenant| tenant.number < TENANT_LIMIT)
-            .ok_or(RequestError::InvalidTenant)?;
-        let id = parse_hex(command.part(ID_PART)).ok_or(RequestError::InvalidId)?;
-        if is_active(id.number) {
-            return Err(RequestError::DuplicateId);
-        }
+        let tenant = parse_tenant(command)?;
+        let id = parse_unused_id(command, is_active)?;
         let text = std::str::from_utf8(command.part(FIELDS_PART))
             .map_err(|_| RequestError::InvalidFields)?;
         let fields = RequestFields::parse(text, schema)?;
@@ -148,6 +143,24 @@
     Ok(())
 }
 
+fn parse_tenant<'a>(command: &'a Command) -> Result<HexNumber<'a>, RequestError> {
+    parse_hex(command.part(TENANT_PART))
+        .filter(|tenant| tenant.number < TENANT_LIMIT)
+        .ok_or(RequestError::InvalidTenant)
+}
+
+/// The id that the client chose, which no active request may have.
+fn parse_unused_id<'a>(
+    command: &'a Command,
+    is_active: impl FnOnce(u64) -> bool,
+) -> Result<HexNumber<'a>, RequestError> {
+    let id = parse_hex(command.part(ID_PART)).ok_or(RequestError::InvalidId)?;
+    if is_active(id.number) {
+        return Err(RequestError::DuplicateId);
+    }
+    Ok(id)
+}
+
 /// A number in hexadecimal digits.
 struct HexNumber<'a> {
     text: &'a str,
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,14 +1,12 @@
 //! The configuration of one gateway: the file that `GW_CONFIG` names, and the variables that override it.
 
+pub use crate::gateway::configuration_error::{ConfigurationError, ConfigurationSource};
+
 use crate::gateway::discovery::EndpointUpdate;
-use crate::{Settings, SettingsDocument, SettingsError};
+use crate::{Settings, SettingsDocument};
 use serde::Deserialize;
 use std::env;
-use std::fmt;
-use std::io;
 use std::net::SocketAddr;
-use std::num::ParseIntError;
-use thiserror::Error;
 
 /// Names the configuration file.
 pub const CONFIG_FILE_VARIABLE: &str = "GW_CONFIG";
@@ -56,86 +54,6 @@
     pub settings: Settings,
 }
 
-/// Why the configuration cannot be used. Each message is one line.
-#[derive(Debug, Error)]
-pub enum ConfigurationError {
-    /// The variable that names the file is absent or not Unicode.
-    #[error("{CONFIG_FILE_VARIABLE} names no configuration file")]
-    NoFileNamed,
-    /// The file cannot be read.
-    #[error("cannot read {path}: {source}")]
-    Unreadable {
-        /// The path of the file.
-        path: String,
-        /// The error of the operating system.
-        source: io::Error,
-    },
-    /// The file is not JSON, or a key in it is missing or has the wrong type.
-    #[error("{path}: {source}")]
-    Malformed {
-        /// The path of the file.
-        path: String,
-        /// The error with the key and the position in the file.
-        source: serde_json::Error,
-    },
-    /// The settings hold a value that the decision engine cannot use.
-    #[error("{path}: {source}")]
-    Settings {
-        /// The path of the file.
-        path: String,
-        /// What is wrong with the settings.
-        source: SettingsError,
-    },
-    /// The number of this gateway is not below the number of gateways.
-    #[error("{path}: settings: Me is {gateway} of {gateway_count} gateways")]
-    GatewayNumber {
-        /// The path of the file.
-        path: String,
-        /// The number of this gateway.
-        gateway: u32,
-        /// The number of gateways of the tier.
-        gateway_count: u32,
-    },
-    /// The seed is not a hexadecimal number of 64 bits.
-    #[error("{path}: seed: {text:?} is not a hexadecimal number: {source}")]
-    Seed {
-        /// The path of the file.
-        path: String,
-        /// The text in its place.
-        text: String,
-        /// What is wrong with the text.
-        source: ParseIntError,
-    },
-    /// A value is not an address with a port.
-    #[error("{origin}: {key}: {text:?} is not an address and port")]
-    Address {
-        /// Where the value was found.
-        origin: ValueOrigin,
-        /// The key of the configuration that the value is for.
-        key: &'static str,
-        /// The value.
-        text: String,
-    },
-}
-
-/// Where a value of the configuration was found.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ValueOrigin {
-    /// In the file at this path.
-    File(String),
-    /// In the environment variable of this name.
-    Variable(&'static str),
-}
-
-impl fmt::Display for ValueOrigin {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ValueOrigin::File(path) => formatter.write_str(path),
-            ValueOrigin::Variable(name) => formatter.write_str(name),
-        }
-    }
-}
-
 /// The file as it is serialized.
 #[derive(Deserialize)]
 struct ConfigurationFile {
@@ -174,12 +92,14 @@
     }
 }
 
-/// When the configuration is read. It decides whether the environment overrides the address of discovery.
+/// Which values the environment overrides.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ReadAt {
-    Startup,
-    /// The file may have been changed since the start; the environment cannot have been.
-    Reload,
+enum EnvironmentOverrides {
+    /// All that have a variable.
+    All,
+    /// All but the address of discovery. On a reload the file may have been changed since the start, and the
+    /// environment cannot have been.
+    AllButDiscovery,
 }
 
 impl Configuration {
@@ -188,7 +108,7 @@
     /// # Errors
     /// When the configuration cannot be used: see [`ConfigurationError`].
     pub fn read() -> Result<Configuration, ConfigurationError> {
-        Self::load(ReadAt::Startup)
+        Self::load(EnvironmentOverrides::All)
     }
 
     /// Reads the file again. The address of discovery now comes from the file, which may have been changed since
@@ -197,7 +117,7 @@
     /// # Errors
     /// When the configuration cannot be used: see [`ConfigurationError`].
     pub fn reload() -> Result<Configuration, ConfigurationError> {
-        Self::load(ReadAt::Reload)
+        Self::load(EnvironmentOverrides::AllButDiscovery)
     }
 
     /// How many bytes of memory each of the kinds of data may take that traffic fills it with.
@@ -206,7 +126,7 @@
         self.max_memory_bytes / MEMORY_PURPOSE_DIVISOR
     }
 
-    fn load(read_at: ReadAt) -> Result<Configuration, ConfigurationError> {
+    fn load(overrides: EnvironmentOverrides) -> Result<Configuration, ConfigurationError> {
         let path = env::var(CONFIG_FILE_VARIABLE).map_err(|_| ConfigurationError::NoFileNamed)?;
         let file = read_file(&path)?;
         let settings = checked_settings(&path, &file.settings)?;
@@ -223,9 +143,9 @@
         let listen = in_file(&path, "listen", &file.listen).overridden_by(LISTEN_VARIABLE);
         let listen_address = listen.parse()?;
         let discovery = in_file(&path, "discovery", &file.discovery);
-        let discovery_address = match read_at {
-            ReadAt::Startup => discovery.overridden_by(DISCOVERY_VARIABLE).parse()?,
-            ReadAt::Reload => discovery.parse()?,
+        let discovery_address = match overrides {
+            EnvironmentOverrides::All => discovery.overridden_by(DISCOVERY_VARIABLE).parse()?,
+            EnvironmentOverrides::AllButDiscovery => discovery.parse()?,
         };
         Ok(Configuration {
             name: override_from(NAME_VARIABLE).unwrap_or(file.name),
@@ -294,14 +214,14 @@
 
 /// The text of an address, with what an error message says about it.
 struct AddressValue {
-    origin: ValueOrigin,
+    origin: ConfigurationSource,
     key: &'static str,
     text: String,
 }
 
 fn in_file(path: &str, key: &'static str, text: &str) -> AddressValue {
     AddressValue {
-        origin: ValueOrigin::File(path.to_string()),
+        origin: ConfigurationSource::File(path.to_string()),
         key,
         text: text.to_string(),
     }
@@ -312,7 +232,7 @@
         match override_from(variable) {
             None => self,
             Some(text) => AddressValue {
-                origin: ValueOrigin::Variable(variable),
+                origin: ConfigurationSource::Variable(variable),
                 key: self.key,
                 text,
             },
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -29,10 +29,12 @@
 //! waits for addresses that the previous incarnation still uses, [`configuration`] reads the configuration, and
 //! [`log`] writes every line of the log.
 
+
 mod background_tasks;
 pub mod bind;
 pub mod clients;
 pub mod configuration;
+mod configuration_error;
 pub mod discovery;
 mod endpoints;
 mod engine_time;
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -5,7 +5,7 @@
 use crate::gateway::bind::{BindError, SocketPurpose, bind_with_retry};
 use crate::gateway::clients::{ClientConnections, ClientListener, RequestSchema};
 use crate::gateway::configuration::Configuration;
-use crate::gateway::discovery::{self, PollSchedule, Tcp};
+use crate::gateway::discovery::{self, EndpointUpdate, PollSchedule, Tcp};
 use crate::gateway::event_loop::{EventLoop, EventLoopHandle, run_timers};
 use crate::gateway::gossip_socket::GossipSocket;
 use crate::gateway::signals::reload_on_hangup;
@@ -155,11 +155,7 @@
         let max_endpoint_connections =
             configuration.max_descriptors * ENDPOINT_DESCRIPTOR_PERCENT / 100;
         let event_loop = EventLoop::new(configuration, gossip.clone(), max_endpoint_connections)?;
-        // A list without endpoints is none to build on.
-        let cached_revision = cached_list
-            .as_ref()
-            .filter(|list| !list.endpoints.is_empty())
-            .map(|list| list.revision);
+        let cached_revision = cached_list.as_ref().and_then(revision_to_build_on);
         if let Some(list) = cached_list {
             event_loop.borrow_mut().endpoints_changed(&list);
         }
@@ -204,3 +200,8 @@
         tasks
     }
 }
+
+/// The revision of a cached list; `None` if it holds no endpoints, because then it is none to build on.
+fn revision_to_build_on(list: &EndpointUpdate) -> Option<u64> {
+    (!list.endpoints.is_empty()).then_some(list.revision)
+}
