--- a/src/gateway/clients/connection_state.rs
+++ b/src/gateway/clients/connection_state.rs
@@ -186,9 +186,7 @@
 
     /// What the task does next. `is_idle` says whether every request is answered and every response delivered.
     ///
-    /// The caller must not end the connection over unread input: see [`ClientConnection::next_step`].
-    ///
-    /// [`ClientConnection::next_step`]: super::ClientConnection::next_step
+    /// The caller must not end the connection over unread input, which only the socket knows of.
     pub(super) fn next_step(&self, is_idle: bool) -> NextStep {
         let is_between_commands = self.input == InputState::BetweenCommands;
         match (self.input, self.close) {
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -67,7 +67,9 @@
             if self.connection.has_failed() {
                 return Ok(());
             }
-            // Input that arrived while the pipeline was full is consumed once there is capacity again.
+            // Input that arrived while the pipeline was full is consumed once there is capacity again. The client may
+            // have disconnected meanwhile (test
+            // `a_command_behind_a_full_pipeline_is_not_started_after_an_unseen_disconnect`).
             if self.has_pipeline_capacity() && !self.received.is_empty() {
                 if !std::mem::take(&mut self.just_read) && self.connection.is_disconnected() {
                     return Ok(());
@@ -104,7 +106,9 @@
         self.connection.pending_responses() < MAX_PIPELINED
     }
 
-    /// Waits for something to do. Breaks when the client has disconnected.
+    /// Waits for something to do. Breaks when the client has disconnected, also while its input is not read (tests
+    /// `half_close_behind_a_full_pipeline_drops_the_waiting_request`,
+    /// `reset_behind_a_full_pipeline_drops_the_waiting_request`).
     async fn wait(&mut self) -> ControlFlow<()> {
         let connection = &self.connection;
         let socket = connection.socket();
@@ -144,7 +148,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Starts whole commands of the input, as many as a turn and the pipeline allow.
+    /// Starts whole commands of the input, as many as a turn and the pipeline allow. After the turn it is checked again
+    /// whether the client has disconnected (test
+    /// `the_rest_of_a_batch_of_commands_is_not_started_after_an_unseen_disconnect`).
     fn start_commands(&mut self) -> Result<CommandBatch, ProtocolError> {
         let mut consumed = 0;
         let mut started = 0;
@@ -197,7 +203,8 @@
 
     fn start_request(&self, command: &Command) {
         if self.connection.has_input_ended() || self.connection.socket().is_input_end_known() {
-            // The client has disconnected. No later command can be answered in its order either.
+            // The client has disconnected. No later command can be answered in its order either (test
+            // `request_that_arrives_together_with_the_disconnect_is_not_forwarded`).
             self.connection.fail();
             return;
         }
@@ -232,7 +239,9 @@
         self.connection.respond(&echo);
     }
 
-    /// Responds with an error once all earlier requests are answered, and waits until the client has read it.
+    /// Responds with an error once all earlier requests are answered, and waits until the client has read it. A client
+    /// that disconnects before gets nothing, and its requests are dropped (test
+    /// `half_close_behind_malformed_input_drops_the_waiting_request`).
     async fn reject(&self, error: ConnectionError) {
         let connection = &self.connection;
         let socket = connection.socket();
--- a/src/gateway/discovery/document.rs
+++ b/src/gateway/discovery/document.rs
@@ -1,7 +1,7 @@
 //! The JSON form of an endpoint list, as discovery sends it and the configuration file caches it.
 
 use super::{EndpointUpdate, ListedEndpoint};
-use crate::EndpointState;
+use crate::{EndpointState, Timestamp};
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use thiserror::Error;
@@ -73,7 +73,7 @@
         cell: cell.or(removed.then_some(0))?,
         state,
         weight: non_negative(entry, "capacity_hint").unwrap_or(DEFAULT_WEIGHT),
-        started_at_ms: non_negative(entry, "boot_ms").unwrap_or(0.0),
+        started_at: non_negative(entry, "boot_ms").map_or(Timestamp::ZERO, Timestamp),
     })
 }
 
--- a/src/gateway/discovery/error.rs
+++ b/src/gateway/discovery/error.rs
@@ -11,12 +11,12 @@
 pub enum DiscoveryError {
     /// A step of the call was not done by its deadline.
     #[error("{0}: no answer in time")]
-    TimedOut(CallStep),
+    TimedOut(DiscoveryCallStep),
     /// A step of the call failed.
     #[error("{step}: {source}")]
     Failed {
         /// The step that failed.
-        step: CallStep,
+        step: DiscoveryCallStep,
         /// The error of the connection.
         source: Box<dyn StdError + Send + Sync>,
     },
@@ -44,7 +44,7 @@
 
 /// A step of a call to discovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallStep {
+pub enum DiscoveryCallStep {
     /// Opening the connection.
     Connect,
     /// Sending a request for this path and waiting for the head of the response.
@@ -55,13 +55,13 @@
     ReadWatch,
 }
 
-impl fmt::Display for CallStep {
+impl fmt::Display for DiscoveryCallStep {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallStep::Connect => formatter.write_str("connecting"),
-            CallStep::Request(path) => formatter.write_str(path),
-            CallStep::ReadSnapshot => formatter.write_str("reading the snapshot"),
-            CallStep::ReadWatch => formatter.write_str("reading the watch"),
+            DiscoveryCallStep::Connect => formatter.write_str("connecting"),
+            DiscoveryCallStep::Request(path) => formatter.write_str(path),
+            DiscoveryCallStep::ReadSnapshot => formatter.write_str("reading the snapshot"),
+            DiscoveryCallStep::ReadWatch => formatter.write_str("reading the watch"),
         }
     }
 }
--- a/src/gateway/discovery/mod.rs
+++ b/src/gateway/discovery/mod.rs
@@ -26,13 +26,13 @@
 mod watcher;
 
 pub use document::DocumentError;
-pub use error::{CallStep, DiscoveryError};
+pub use error::{DiscoveryCallStep, DiscoveryError};
 pub use frames::{Frame, FrameDecoder, FrameError};
 pub use schedule::PollSchedule;
 pub use transport::{Connect, Tcp};
 pub use watcher::follow;
 
-use crate::EndpointState;
+use crate::{EndpointState, Timestamp};
 use std::net::SocketAddr;
 
 /// What discovery says about one endpoint.
@@ -52,8 +52,8 @@
     pub state: EndpointState,
     /// The registered capacity, relative to that of other endpoints.
     pub weight: f64,
-    /// The time of the last start in milliseconds of Unix time; 0 if it was long ago.
-    pub started_at_ms: f64,
+    /// The time of the last start, in Unix time; zero if it was long ago.
+    pub started_at: Timestamp,
 }
 
 /// A snapshot of the endpoint list, or a delta to it.
--- a/src/gateway/discovery/schedule.rs
+++ b/src/gateway/discovery/schedule.rs
@@ -6,7 +6,8 @@
 //! gateways of the tier, and a call that it rejects has cost it work as well: what one gateway may do at once, a
 //! hundred gateways may not.
 
-use crate::{DiscoveryMode, SettingsDocument};
+use crate::gateway::engine_time::to_duration;
+use crate::{DiscoveryMode, Milliseconds, SettingsDocument};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -34,6 +35,9 @@
 /// The mean delay before the next call to an agent is at most one part in so many of the time within which the
 /// gateway must respect that an endpoint drains.
 const DRAIN_GRACE_DIVISOR: u32 = 4;
+/// Durations of the settings are kept within these bounds.
+const MIN_SETTING: Duration = Duration::from_millis(1);
+const MAX_SETTING: Duration = Duration::from_mins(1);
 /// The range of the random factor that each delay is multiplied by.
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
 
@@ -43,33 +47,34 @@
 /// failed at the same time do not call again at the same time.
 pub struct PollSchedule {
     rng: Pcg64Mcg,
-    delays: DelayLimits,
+    timing: CallTiming,
     /// The mean of the next delay.
     mean_delay: Duration,
 }
 
-/// The bounds of the delays, which follow from the settings.
-struct DelayLimits {
+/// How long to wait before a call and for its response, which follows from the settings.
+struct CallTiming {
     /// The longest delay of the first call.
     max_initial: Duration,
     /// The shortest and the longest mean delay after a failure.
     min_mean: Duration,
     max_mean: Duration,
+    /// How long a call waits for the head of its response.
     response_timeout: Duration,
 }
 
-impl DelayLimits {
-    fn new(document: &SettingsDocument) -> DelayLimits {
+impl CallTiming {
+    fn new(document: &SettingsDocument) -> CallTiming {
         match document.discovery_mode {
-            DiscoveryMode::Automatic => DelayLimits::for_agent(document),
-            DiscoveryMode::Subscribe => DelayLimits::for_shared_service(document),
+            DiscoveryMode::Automatic => CallTiming::for_agent(document),
+            DiscoveryMode::Subscribe => CallTiming::for_shared_service(document),
         }
     }
 
-    fn for_agent(document: &SettingsDocument) -> DelayLimits {
+    fn for_agent(document: &SettingsDocument) -> CallTiming {
         let drain_grace = duration_from_setting(document.rules.drain_grace_ms);
         let max_mean = MAX_MEAN_DELAY.min(drain_grace / DRAIN_GRACE_DIVISOR);
-        DelayLimits {
+        CallTiming {
             max_initial: Duration::ZERO,
             min_mean: MIN_MEAN_DELAY.min(max_mean),
             max_mean,
@@ -77,7 +82,7 @@
         }
     }
 
-    fn for_shared_service(document: &SettingsDocument) -> DelayLimits {
+    fn for_shared_service(document: &SettingsDocument) -> CallTiming {
         let gateways = document.gateway_count().max(1);
         let max_poll_interval = duration_from_setting(document.rules.max_poll_interval_ms);
         let fleet_mean = MEAN_DELAY_PER_GATEWAY * gateways;
@@ -86,7 +91,7 @@
             .min(max_poll_interval)
             .min(longest_mean_delay(Duration::ZERO));
         let first_call_spread = FIRST_CALL_SPACING * (gateways - 1);
-        DelayLimits {
+        CallTiming {
             max_initial: first_call_spread.min(max_poll_interval / POLL_INTERVAL_DIVISOR),
             min_mean: MIN_MEAN_DELAY.max(fleet_mean).min(max_mean),
             max_mean,
@@ -99,28 +104,28 @@
     /// The delays that the settings demand, with jitter from a random stream of this seed.
     #[must_use]
     pub fn new(document: &SettingsDocument, seed: u64) -> PollSchedule {
-        let delays = DelayLimits::new(document);
+        let timing = CallTiming::new(document);
         PollSchedule {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            mean_delay: delays.min_mean,
-            delays,
+            mean_delay: timing.min_mean,
+            timing,
         }
     }
 
     /// How long to wait before the first call of a process, or before the first call to a new address.
     pub fn initial_delay(&mut self) -> Duration {
-        self.delays.max_initial.mul_f64(self.rng.random())
+        self.timing.max_initial.mul_f64(self.rng.random())
     }
 
     /// How long a call waits for the head of its response.
     #[must_use]
     pub fn response_timeout(&self) -> Duration {
-        self.delays.response_timeout
+        self.timing.response_timeout
     }
 
     /// Starts the backoff anew, because discovery has answered.
     pub fn reset(&mut self) {
-        self.mean_delay = self.delays.min_mean;
+        self.mean_delay = self.timing.min_mean;
     }
 
     /// How long to wait after a failure. `elapsed` is the time since the failed call began, or since its watch
@@ -130,7 +135,7 @@
             .mean_delay
             .min(longest_mean_delay(elapsed))
             .mul_f64(self.rng.random_range(JITTER));
-        self.mean_delay = (2 * self.mean_delay).min(self.delays.max_mean);
+        self.mean_delay = (2 * self.mean_delay).min(self.timing.max_mean);
         delay
     }
 }
@@ -142,5 +147,5 @@
 
 /// A duration from the settings, within bounds that calculations can rely on.
 fn duration_from_setting(milliseconds: f64) -> Duration {
-    Duration::from_secs_f64(milliseconds.clamp(1.0, 60_000.0) / 1000.0)
+    to_duration(Milliseconds(milliseconds)).clamp(MIN_SETTING, MAX_SETTING)
 }
--- a/src/gateway/discovery/transport.rs
+++ b/src/gateway/discovery/transport.rs
@@ -1,7 +1,7 @@
 //! Connections to discovery and HTTP calls on them. Each step has a deadline.
 
 use super::document::MAX_DOCUMENT_BYTES;
-use super::{CallStep, DiscoveryError};
+use super::{DiscoveryCallStep, DiscoveryError};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -53,9 +53,10 @@
         deadline: Instant,
     ) -> Result<HttpConnection, DiscoveryError> {
         let connecting = connector.connect(address);
-        let stream = before(deadline, CallStep::Connect, connecting).await?;
+        let stream = before(deadline, DiscoveryCallStep::Connect, connecting).await?;
         let handshaking = handshake(TokioIo::new(stream));
-        let (sender, connection) = before(deadline, CallStep::Connect, handshaking).await?;
+        let (sender, connection) =
+            before(deadline, DiscoveryCallStep::Connect, handshaking).await?;
         let mut driver = JoinSet::new();
         driver.spawn_local(async move {
             // The call that waits on the connection reports how it ended.
@@ -74,7 +75,7 @@
         path: &str,
         deadline: Instant,
     ) -> Result<Incoming, DiscoveryError> {
-        let step = CallStep::Request(path.to_string());
+        let step = DiscoveryCallStep::Request(path.to_string());
         let request = Request::get(path)
             .header("host", self.address.to_string())
             .body(Empty::new())
@@ -95,7 +96,12 @@
 
     /// Waits until the connection can take another request, by the deadline.
     pub(super) async fn ready(&mut self, deadline: Instant) -> Result<(), DiscoveryError> {
-        before(deadline, CallStep::ReadSnapshot, self.sender.ready()).await
+        before(
+            deadline,
+            DiscoveryCallStep::ReadSnapshot,
+            self.sender.ready(),
+        )
+        .await
     }
 }
 
@@ -105,14 +111,14 @@
     deadline: Instant,
 ) -> Result<Bytes, DiscoveryError> {
     let reading = Limited::new(body, MAX_DOCUMENT_BYTES).collect();
-    let collected = before(deadline, CallStep::ReadSnapshot, reading).await?;
+    let collected = before(deadline, DiscoveryCallStep::ReadSnapshot, reading).await?;
     Ok(collected.to_bytes())
 }
 
 /// Waits for a step of a call up to its deadline.
 async fn before<T, E>(
     deadline: Instant,
-    step: CallStep,
+    step: DiscoveryCallStep,
     call: impl Future<Output = Result<T, E>>,
 ) -> Result<T, DiscoveryError>
 where
--- a/src/gateway/discovery/watcher.rs
+++ b/src/gateway/discovery/watcher.rs
@@ -1,7 +1,9 @@
 //! Follows the endpoint list: a snapshot, then a watch, and a new connection whenever that fails.
 
 use super::transport::{HttpConnection, read_snapshot};
-use super::{CallStep, Connect, DiscoveryError, EndpointUpdate, Frame, FrameDecoder, PollSchedule};
+use super::{
+    Connect, DiscoveryCallStep, DiscoveryError, EndpointUpdate, Frame, FrameDecoder, PollSchedule,
+};
 use crate::gateway::log::{self, LogEvent};
 use http_body_util::BodyExt;
 use hyper::body::Bytes;
@@ -145,7 +147,7 @@
                 .map_err(|_| DiscoveryError::WatchSilent)?
                 .ok_or(DiscoveryError::WatchEnded)?;
             let body_frame = next_frame.map_err(|error| DiscoveryError::Failed {
-                step: CallStep::ReadWatch,
+                step: DiscoveryCallStep::ReadWatch,
                 source: error.into(),
             })?;
             let bytes = body_frame.into_data().unwrap_or_default();
--- a/src/gateway/endpoints/connection.rs
+++ b/src/gateway/endpoints/connection.rs
@@ -11,6 +11,7 @@
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
 use std::net::Shutdown;
+use std::ops::ControlFlow;
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
@@ -39,7 +40,7 @@
 
 /// What a connection is used for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ConnectionState {
+pub(crate) enum Assignment {
     /// It carries no attempt: it is new, idle or closed.
     Unassigned,
     /// The command is partly written, so the endpoint cannot have begun to execute it.
@@ -48,13 +49,14 @@
     AwaitingResponse { request: RequestId },
 }
 
-impl ConnectionState {
+impl Assignment {
     /// The request whose attempt the connection carries.
     pub fn request(self) -> Option<RequestId> {
         match self {
-            ConnectionState::Unassigned => None,
-            ConnectionState::Writing { request }
-            | ConnectionState::AwaitingResponse { request } => Some(request),
+            Assignment::Unassigned => None,
+            Assignment::Writing { request } | Assignment::AwaitingResponse { request } => {
+                Some(request)
+            }
         }
     }
 }
@@ -66,7 +68,7 @@
     pub endpoint: EndpointName,
     /// The incarnation of the endpoint that the connection was opened to.
     pub incarnation: u64,
-    state: Cell<ConnectionState>,
+    assignment: Cell<Assignment>,
     handler: Weak<dyn EndpointEventHandler>,
     reader: OnceCell<AbortHandle>,
     read_memory: MemoryReservation,
@@ -90,7 +92,7 @@
             stream,
             endpoint,
             incarnation,
-            state: Cell::new(ConnectionState::Unassigned),
+            assignment: Cell::new(Assignment::Unassigned),
             handler,
             reader: OnceCell::new(),
             read_memory,
@@ -100,13 +102,13 @@
         connection
     }
 
-    pub fn state(&self) -> ConnectionState {
-        self.state.get()
+    pub fn assignment(&self) -> Assignment {
+        self.assignment.get()
     }
 
     /// Ends the connection's part in an attempt, and returns the state that it was in.
-    pub fn unassign(&self) -> ConnectionState {
-        self.state.replace(ConnectionState::Unassigned)
+    pub fn unassign(&self) -> Assignment {
+        self.assignment.replace(Assignment::Unassigned)
     }
 
     /// Closes the connection at once: the endpoint sees the end before anything else is decided, and no late
@@ -142,10 +144,10 @@
             Err(error) => return Err(error),
         };
         if written == command.len() {
-            self.state
-                .set(ConnectionState::AwaitingResponse { request });
+            self.assignment
+                .set(Assignment::AwaitingResponse { request });
         } else {
-            self.state.set(ConnectionState::Writing { request });
+            self.assignment.set(Assignment::Writing { request });
             self.spawn_writer(request, command[written..].to_vec());
         }
         Ok(())
@@ -159,13 +161,13 @@
         tokio::task::spawn_local(async move {
             let result = connection.write_all(&remaining).await;
             // The attempt may have ended meanwhile.
-            if connection.state.get() != (ConnectionState::Writing { request }) {
+            if connection.assignment.get() != (Assignment::Writing { request }) {
                 return;
             }
             match result {
                 Ok(()) => connection
-                    .state
-                    .set(ConnectionState::AwaitingResponse { request }),
+                    .assignment
+                    .set(Assignment::AwaitingResponse { request }),
                 Err(_) => handler.handle_endpoint_event(EndpointEvent::WriteFailed { request }),
             }
         });
@@ -209,18 +211,11 @@
     ) -> Result<(), EndpointProtocolError> {
         let mut buffer: Vec<u8> = Vec::new();
         loop {
-            if self.stream.readable().await.is_err() {
+            if self.read_more(&mut buffer).await.is_break() {
                 return Ok(());
             }
-            buffer.reserve(READ_CHUNK_BYTES);
-            match self.stream.try_read_buf(&mut buffer) {
-                Ok(0) => return Ok(()),
-                Ok(_) => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
-                Err(_) => return Ok(()),
-            }
             // Bytes that belong to no request must not be taken for the response to the next one.
-            if self.state.get() == ConnectionState::Unassigned {
+            if self.assignment.get() == Assignment::Unassigned {
                 return Ok(());
             }
             if !self
@@ -248,6 +243,22 @@
         }
     }
 
+    /// Appends what arrives next. Breaks when the connection has ended.
+    async fn read_more(&self, buffer: &mut Vec<u8>) -> ControlFlow<()> {
+        loop {
+            if self.stream.readable().await.is_err() {
+                return ControlFlow::Break(());
+            }
+            buffer.reserve(READ_CHUNK_BYTES);
+            match self.stream.try_read_buf(buffer) {
+                Ok(0) => return ControlFlow::Break(()),
+                Ok(_) => return ControlFlow::Continue(()),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                Err(_) => return ControlFlow::Break(()),
+            }
+        }
+    }
+
     /// Empties the buffer, and gives its memory back after a long response.
     fn recycle(&self, buffer: &mut Vec<u8>) {
         buffer.clear();
--- a/src/gateway/endpoints/mod.rs
+++ b/src/gateway/endpoints/mod.rs
@@ -12,7 +12,7 @@
 mod registry;
 mod response;
 
-pub(crate) use connection::{ConnectionState, EndpointConnection, EndpointProtocolError};
+pub(crate) use connection::{Assignment, EndpointConnection, EndpointProtocolError};
 pub use dialer::Connector;
 pub(crate) use dialer::Dial;
 pub(crate) use pool::{EndpointPool, EndpointPoolLimits};
--- a/src/gateway/endpoints/pool.rs
+++ b/src/gateway/endpoints/pool.rs
@@ -6,7 +6,7 @@
 use crate::gateway::endpoints::dialer::{Connector, Dial, Dialer};
 use crate::gateway::endpoints::idle_connections::REUSE_REST;
 use crate::gateway::endpoints::permits::{ConnectionPermit, ConnectionPermits};
-use crate::gateway::endpoints::registry::{EndpointEntry, EndpointRegistry, RegistryChange};
+use crate::gateway::endpoints::registry::{EndpointRegistry, RegisteredEndpoint, RegistryChange};
 use crate::gateway::endpoints::{AttemptId, EndpointEventHandler};
 use crate::gateway::memory_budget::MemoryBudget;
 use std::rc::{Rc, Weak};
@@ -192,6 +192,6 @@
     }
 }
 
-fn is_current(entry: &EndpointEntry, connection: &EndpointConnection) -> bool {
+fn is_current(entry: &RegisteredEndpoint, connection: &EndpointConnection) -> bool {
     entry.is_ready() && entry.incarnation == connection.incarnation
 }
--- a/src/gateway/endpoints/registry.rs
+++ b/src/gateway/endpoints/registry.rs
@@ -2,22 +2,22 @@
 
 use crate::gateway::discovery::{EndpointUpdate, ListedEndpoint};
 use crate::gateway::endpoints::idle_connections::IdleConnections;
-use crate::{EndpointName, EndpointState};
+use crate::{EndpointName, EndpointState, Timestamp};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
 /// What discovery says of an endpoint, and the idle connections to it.
-pub(crate) struct EndpointEntry {
+pub(crate) struct RegisteredEndpoint {
     pub address: SocketAddr,
     pub state: EndpointState,
     /// Grows with each restart and each new address. Connections to an earlier incarnation are of no use.
     pub incarnation: u64,
-    /// The endpoint's last start in Unix time; 0 if long ago.
-    started_at_ms: f64,
+    /// The endpoint's last start in Unix time; zero if long ago.
+    started_at: Timestamp,
     pub idle: IdleConnections,
 }
 
-impl EndpointEntry {
+impl RegisteredEndpoint {
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
@@ -36,19 +36,19 @@
 /// All endpoints that discovery has listed and not removed.
 #[derive(Default)]
 pub(crate) struct EndpointRegistry {
-    endpoints: HashMap<EndpointName, EndpointEntry>,
+    endpoints: HashMap<EndpointName, RegisteredEndpoint>,
 }
 
 impl EndpointRegistry {
-    pub fn get(&self, name: &str) -> Option<&EndpointEntry> {
+    pub fn get(&self, name: &str) -> Option<&RegisteredEndpoint> {
         self.endpoints.get(name)
     }
 
-    pub fn get_mut(&mut self, name: &str) -> Option<&mut EndpointEntry> {
+    pub fn get_mut(&mut self, name: &str) -> Option<&mut RegisteredEndpoint> {
         self.endpoints.get_mut(name)
     }
 
-    pub fn entries_mut(&mut self) -> impl Iterator<Item = &mut EndpointEntry> {
+    pub fn entries_mut(&mut self) -> impl Iterator<Item = &mut RegisteredEndpoint> {
         self.endpoints.values_mut()
     }
 
@@ -96,22 +96,22 @@
         let entry = self
             .endpoints
             .entry(name.clone())
-            .or_insert_with(|| EndpointEntry {
+            .or_insert_with(|| RegisteredEndpoint {
                 address: listed.address,
                 state: listed.state,
                 incarnation: 0,
-                started_at_ms: listed.started_at_ms,
+                started_at: listed.started_at,
                 idle: IdleConnections::default(),
             });
         // At a new address alone the old process may still answer what it has, so that is no restart.
-        let has_restarted = listed.started_at_ms > entry.started_at_ms;
+        let has_restarted = listed.started_at > entry.started_at;
         if has_restarted || entry.address != listed.address {
             entry.incarnation += 1;
             entry.idle.close_all();
         }
         entry.address = listed.address;
         entry.state = listed.state;
-        entry.started_at_ms = listed.started_at_ms;
+        entry.started_at = listed.started_at;
         has_restarted
     }
 
@@ -127,15 +127,13 @@
             let Some(owner) = self.endpoints.get(&owner_name).filter(|e| e.is_ready()) else {
                 continue;
             };
-            let owner_started_at_ms = owner.started_at_ms;
+            let owner_started_at = owner.started_at;
             let at_same_address = names_by_address.get(&owner.address).into_iter().flatten();
             for name in at_same_address.filter(|name| **name != owner_name) {
                 let Some(entry) = self.endpoints.get_mut(name) else {
                     continue;
                 };
-                if entry.state != EndpointState::Removed
-                    && entry.started_at_ms <= owner_started_at_ms
-                {
+                if entry.state != EndpointState::Removed && entry.started_at <= owner_started_at {
                     entry.state = EndpointState::Removed;
                     replaced.push(name.clone());
                 }
--- a/src/gateway/event_loop/attempt.rs
+++ b/src/gateway/event_loop/attempt.rs
@@ -8,11 +8,11 @@
 //! | `OnConnection`, writing | the last byte of the command is written | `OnConnection`, awaiting the response |
 //! | any | the attempt ends: response, failure, deadline, or the client disconnects | - |
 //!
-//! Whether a connection is still writing or awaits the response is part of its [`ConnectionState`], because the
+//! Whether a connection is still writing or awaits the response is part of its [`Assignment`], because the
 //! connection's own task writes what the socket does not take at once. Up to the last byte no endpoint can have
 //! executed the command; from there on it may have.
 
-use crate::gateway::endpoints::{AttemptId, ConnectionState, EndpointConnection};
+use crate::gateway::endpoints::{Assignment, AttemptId, EndpointConnection};
 use crate::gateway::engine_time::to_milliseconds;
 use crate::gateway::event_loop::response_outcome::ResponseReports;
 use crate::{AttemptOutcome, AttemptResult, EndpointName};
@@ -82,7 +82,7 @@
         match &self.state {
             AttemptState::Connecting => false,
             AttemptState::OnConnection(connection) => {
-                matches!(connection.state(), ConnectionState::AwaitingResponse { .. })
+                matches!(connection.assignment(), Assignment::AwaitingResponse { .. })
             }
         }
     }
--- a/src/gateway/event_loop/endpoint_translator.rs
+++ b/src/gateway/event_loop/endpoint_translator.rs
@@ -57,7 +57,7 @@
             hardware: HardwareId(index_of(&self.hardware_models, &listed.hardware)),
             weight: listed.weight,
             state: listed.state,
-            started_at: Timestamp(listed.started_at_ms),
+            started_at: listed.started_at,
         }
     }
 }
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -4,11 +4,11 @@
 //! what ends an attempt returns an [`AttemptOutcome`], which the event loop reports.
 
 use crate::gateway::endpoints::{
-    AttemptId, ConnectionState, Dial, EndpointConnection, EndpointEventHandler, EndpointPool,
+    Assignment, AttemptId, Dial, EndpointConnection, EndpointEventHandler, EndpointPool,
     EndpointPoolLimits, EndpointProtocolError, EndpointResponse,
 };
-use crate::gateway::event_loop::in_flight_requests::{AttemptStart, InFlightRequests};
 use crate::gateway::event_loop::malformed_responses::MalformedResponses;
+use crate::gateway::event_loop::proxied_requests::{AttemptStart, ProxiedRequests};
 use crate::gateway::event_loop::response_outcome::{ResponseOutcome, ResponseReports};
 use crate::gateway::event_loop::timers::Timer;
 use crate::{AttemptOutcome, AttemptResult, EndpointName, RequestId, Settings, Tokens};
@@ -18,7 +18,7 @@
 
 /// The requests in flight and the connections to endpoints.
 pub(super) struct Forwarder {
-    pub requests: InFlightRequests,
+    pub requests: ProxiedRequests,
     pub endpoints: EndpointPool,
     malformed_responses: MalformedResponses,
     /// No request costs more than this.
@@ -63,7 +63,7 @@
             endpoint_idle_timeout: limits.endpoint_idle_timeout,
         };
         Forwarder {
-            requests: InFlightRequests::new(
+            requests: ProxiedRequests::new(
                 &settings.classes,
                 limits.max_requests,
                 limits.memory_per_purpose,
@@ -105,7 +105,7 @@
     }
 
     /// A connect has ended; `stream` is `None` if it failed. The attempt may have ended before: then the new
-    /// connection is kept for others.
+    /// connection is kept for others (test `a_connect_that_ends_after_its_attempt_carries_only_a_later_request`).
     pub fn connect_finished(
         &mut self,
         dial: Dial,
@@ -139,12 +139,12 @@
         response: &EndpointResponse<'_>,
         nothing_follows: bool,
     ) -> Option<AttemptOutcome> {
-        let state = connection.unassign();
-        let id = state.request()?;
+        let assignment = connection.unassign();
+        let id = assignment.request()?;
         // A response before the command is complete, or one that no endpoint writes, may be followed by more that
         // belongs to no request.
         let is_reusable = nothing_follows
-            && matches!(state, ConnectionState::AwaitingResponse { .. })
+            && matches!(assignment, Assignment::AwaitingResponse { .. })
             && !matches!(response, EndpointResponse::UnknownError);
         if is_reusable {
             self.endpoints.put_idle(connection, Instant::now());
@@ -170,7 +170,7 @@
             self.malformed_responses
                 .record(connection.endpoint.clone(), error);
         }
-        let id = connection.state().request()?;
+        let id = connection.assignment().request()?;
         self.requests
             .abort_attempt(id, AttemptResult::ConnectionReset)
     }
@@ -192,7 +192,7 @@
 
     /// Sends the command of a request on a connection. False if nothing was written: the connection broke before,
     /// its endpoint takes no new requests, or a further attempt could be executed a second time. The connection is
-    /// closed then.
+    /// closed then (test `request_goes_elsewhere_if_its_endpoint_starts_draining_while_connecting`).
     fn send_command(&mut self, id: RequestId, connection: &Rc<EndpointConnection>) -> bool {
         let is_sent =
             self.endpoints.is_usable(connection) && self.requests.send_command(id, connection);
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -11,7 +11,7 @@
 //! | `EngineClock` | the conversion between the gateway's times and the engine's |
 //! | `TimerQueue` | all timers |
 //! | `Forwarder` | what is on its way, and what concerns both of its parts: |
-//! | - `InFlightRequests` | the requests in flight, their attempts, and what they occupy |
+//! | - `ProxiedRequests` | the requests in flight, their attempts, and what they occupy |
 //! | - `EndpointPool` | the listed endpoints and the connections to them |
 //! | `EndpointTranslator` | the numbers of zones and hardware models |
 //! | `GossipSocket` | the socket to the other gateways |
@@ -26,9 +26,9 @@
 mod engine_queue;
 mod forwarder;
 mod gateway_answers;
-mod in_flight_request;
-mod in_flight_requests;
 mod malformed_responses;
+mod proxied_request;
+mod proxied_requests;
 mod response_outcome;
 mod service_phase;
 mod socket_events;
@@ -53,7 +53,7 @@
 use engine_actions::execute;
 use engine_queue::EngineQueue;
 use forwarder::{Forwarded, Forwarder, ForwarderLimits};
-use in_flight_request::InFlightRequest;
+use proxied_request::ProxiedRequest;
 use service_phase::ServicePhase;
 use std::cell::RefCell;
 use std::rc::{Rc, Weak};
@@ -199,7 +199,7 @@
         let now = Instant::now();
         let client_deadline = (now + command.wait).checked_sub(CLIENT_DEADLINE_MARGIN);
         let deadline = self.phase.limit(client_deadline.unwrap_or(now));
-        let request = InFlightRequest::new(command, client);
+        let request = ProxiedRequest::new(command, client);
         let engine_request = request.to_engine_request(id, self.clock.timestamp(deadline));
         self.forwarder.requests.insert(id, request);
         let timer = Timer::AnswerDeadline { request: id };
@@ -255,6 +255,8 @@
         }
     }
 
+    /// The client may have disconnected unseen while the connection was opened (test
+    /// `request_is_not_forwarded_if_its_connection_completes_together_with_the_disconnect`).
     fn connect_finished(&mut self, dial: Dial, stream: Option<TcpStream>) {
         let request = dial.attempt.request;
         if self.forwarder.requests.is_abandoned(request) {
--- a/src/gateway/event_loop/in_flight_request.rs
+++ b/src/gateway/event_loop/proxied_request.rs
@@ -1,4 +1,5 @@
-//! A request in flight: its command, its client, and its current attempt.
+//! A request on its way between a client's connection and an endpoint's: its command, its client, and its current
+//! attempt. The decision engine has its own record of the request, `InFlightRequest`, which knows no socket.
 
 use crate::gateway::clients::{ClientConnection, ClientRequest};
 use crate::gateway::endpoints::AttemptId;
@@ -8,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// A request in flight: until its final answer, and beyond it while an attempt is still running.
-pub(super) struct InFlightRequest {
+pub(super) struct ProxiedRequest {
     command: ClientRequest,
     client: ClientState,
     attempts_started: u32,
@@ -27,10 +28,10 @@
     Released,
 }
 
-impl InFlightRequest {
+impl ProxiedRequest {
     /// A request that has just been received.
-    pub fn new(command: ClientRequest, client: Rc<ClientConnection>) -> InFlightRequest {
-        InFlightRequest {
+    pub fn new(command: ClientRequest, client: Rc<ClientConnection>) -> ProxiedRequest {
+        ProxiedRequest {
             command,
             client: ClientState::JustSeen(client),
             attempts_started: 0,
--- a/src/gateway/event_loop/in_flight_requests.rs
+++ b/src/gateway/event_loop/proxied_requests.rs
@@ -5,7 +5,7 @@
 use crate::gateway::clients::ClientConnection;
 use crate::gateway::endpoints::{AttemptId, EndpointConnection};
 use crate::gateway::engine_time::to_duration;
-use crate::gateway::event_loop::in_flight_request::InFlightRequest;
+use crate::gateway::event_loop::proxied_request::ProxiedRequest;
 use crate::gateway::event_loop::response_outcome::ResponseReports;
 use crate::{AttemptOutcome, AttemptResult, EndpointName, Idempotency, RequestClass, RequestId};
 use std::collections::{HashMap, HashSet};
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 /// All requests in flight.
-pub(super) struct InFlightRequests {
-    requests: HashMap<RequestId, InFlightRequest>,
+pub(super) struct ProxiedRequests {
+    requests: HashMap<RequestId, ProxiedRequest>,
     /// The ids that the clients chose for the requests in flight.
     client_request_ids: HashSet<u64>,
     memory_in_use: usize,
@@ -38,14 +38,14 @@
     Abandoned,
 }
 
-impl InFlightRequests {
+impl ProxiedRequests {
     /// An empty table for at most `max_requests` requests, whose commands take at most `max_memory_bytes`.
     pub fn new(
         classes: &[RequestClass],
         max_requests: usize,
         max_memory_bytes: usize,
-    ) -> InFlightRequests {
-        InFlightRequests {
+    ) -> ProxiedRequests {
+        ProxiedRequests {
             requests: HashMap::new(),
             client_request_ids: HashSet::new(),
             memory_in_use: 0,
@@ -93,7 +93,7 @@
     }
 
     /// Adds a request that has just been received.
-    pub fn insert(&mut self, id: RequestId, request: InFlightRequest) {
+    pub fn insert(&mut self, id: RequestId, request: ProxiedRequest) {
         self.received += 1;
         self.memory_in_use += request.command().command_len();
         self.client_request_ids
@@ -135,7 +135,7 @@
     pub fn is_abandoned(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
-            .is_some_and(InFlightRequest::is_abandoned)
+            .is_some_and(ProxiedRequest::is_abandoned)
     }
 
     /// Releases the client that waits for the answer to a request. There is one at most once for each request, so that
@@ -173,6 +173,13 @@
     }
 
     /// Starts an attempt of a request; `None` if the request is not in flight any more.
+    ///
+    /// What the request waited for (a permit, a quota response, the failure of an attempt) may arrive together with the
+    /// disconnect of its client, which the runtime then has not seen. The socket itself is asked, so that nothing is
+    /// sent for a client that has left (tests
+    /// `request_is_not_forwarded_if_its_permit_is_released_together_with_the_disconnect`,
+    /// `request_is_not_forwarded_if_its_quota_response_arrives_together_with_the_disconnect`,
+    /// `attempt_that_fails_together_with_the_disconnect_is_not_retried`).
     pub fn start_attempt(
         &mut self,
         id: RequestId,
@@ -192,7 +199,8 @@
     }
 
     /// Sends the command of a request on a connection, which carries the attempt from then on. False if nothing was
-    /// written, because the connection broke before or a further attempt could be executed a second time.
+    /// written, because the connection broke before or a further attempt could be executed a second time (test
+    /// `a_keyed_request_is_not_retried_if_its_deduplication_window_passes_during_the_connect`).
     pub fn send_command(&mut self, id: RequestId, connection: &Rc<EndpointConnection>) -> bool {
         let now = Instant::now();
         let Some(request) = self.requests.get_mut(&id) else {
@@ -252,7 +260,8 @@
         self.finish_attempt(id, result, ResponseReports::default())
     }
 
-    /// Cancels the attempt of a request if no endpoint has the whole command. The rest of it is not written.
+    /// Cancels the attempt of a request if no endpoint has the whole command. The rest of it is not written (test
+    /// `a_client_disconnect_stops_a_partly_written_command`).
     pub fn cancel_unsent_attempt(&mut self, id: RequestId) -> Option<AttemptOutcome> {
         let attempt = self.requests.get(&id)?.attempt()?;
         if attempt.may_have_executed() {
--- a/src/gateway/event_loop/service_phase.rs
+++ b/src/gateway/event_loop/service_phase.rs
@@ -12,7 +12,8 @@
 }
 
 impl ServicePhase {
-    /// The deadline of a request whose client waits until `client_deadline`.
+    /// The deadline of a request whose client waits until `client_deadline`. No request outlasts the kill (test
+    /// `request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit`).
     pub fn limit(self, client_deadline: Instant) -> Instant {
         match self {
             ServicePhase::Serving => client_deadline,
--- a/tests/gateway/gateway.rs
+++ b/tests/gateway/gateway.rs
@@ -1,11 +1,11 @@
 //! The event loop between clients and endpoints, where a test has to force the order of events.
 
 use crate::support::*;
-use marlshelf::EndpointState;
 use marlshelf::gateway::clients::{ClientConnections, ClientListener, RequestSchema};
 use marlshelf::gateway::discovery::{EndpointUpdate, ListedEndpoint};
 use marlshelf::gateway::event_loop::{Connector, EventLoop, EventLoopHandle, run_timers};
 use marlshelf::gateway::resp;
+use marlshelf::{EndpointState, Timestamp};
 use socket2::SockRef;
 use std::net::{Shutdown, SocketAddr};
 use std::rc::Rc;
@@ -28,7 +28,7 @@
         cell: 0,
         state: EndpointState::Ready,
         weight: 1.0,
-        started_at_ms: 0.0,
+        started_at: Timestamp::ZERO,
     }
 }
 
@@ -307,7 +307,7 @@
         disconnect_unseen_by_runtime(&client, &clients);
         // A restart of the endpoint fails the first request, which makes space in the pipeline.
         let restarted = ListedEndpoint {
-            started_at_ms: 1.0,
+            started_at: Timestamp(1.0),
             ..ready_endpoint("s-1", address)
         };
         list_change(&gateway, 2, restarted);
