--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -7,6 +7,7 @@
 use crate::records::PriorityTier;
 use crate::settings::Settings;
 use crate::statistics::{RatioBands, SlidingWindow, WindowShape};
+use crate::units::{Milliseconds, Timestamp};
 use rand::Rng;
 use std::sync::Arc;
 
@@ -15,8 +16,12 @@
 const ACCEPT_MULTIPLIER: f64 = 2.0;
 /// The sliding window. One of many gateways sees few requests, and a probability made of a handful is noise,
 /// so a slot stays open until it holds a few or has become old.
-const WINDOW: WindowShape =
-    WindowShape { slots: 10, slot_ms: 300.0, min_slot_events: 4, max_slot_ms: 3000.0 };
+const WINDOW: WindowShape = WindowShape {
+    slots: 10,
+    slot_duration: Milliseconds(300.0),
+    min_slot_events: 4,
+    max_slot_duration: Milliseconds(3000.0),
+};
 /// Each tier forwards this many requests a second for each endpoint, from all gateways together, whatever the
 /// probability, so that recovery is seen: a minimum for each gateway would add up to an overload.
 const MIN_FORWARDED_PER_SECOND: f64 = 0.15;
@@ -57,7 +62,7 @@
 
     /// Counts the final outcome of a request.
     pub(super) fn record(&mut self, tier: PriorityTier, accepted: bool, now_ms: f64) {
-        self.window.record(tier.0, accepted, now_ms);
+        self.window.record(tier.0, accepted, Timestamp(now_ms));
     }
 
     /// Decides whether a request of this tier is shed, and counts it as forwarded if not.
@@ -81,7 +86,7 @@
     }
 
     fn rejection_probability(&mut self, tier: PriorityTier, now_ms: f64) -> f64 {
-        self.window.advance(now_ms);
+        self.window.advance(Timestamp(now_ms));
         let higher_tiers = (0..tier.0).map(|higher| self.window.tally(higher));
         let failures: f64 = higher_tiers.map(|tally| tally.total - tally.accepted).sum();
         let own = self.window.tally(tier.0);
--- a/src/decisions/quota_client.rs
+++ b/src/decisions/quota_client.rs
@@ -4,6 +4,7 @@
 use super::{DEMAND_WINDOW_MS, FALLBACK_FRACTION};
 use crate::records::{ClientLedger, ClientTerms, LeasePlan, ReceivedState};
 use crate::statistics::exponential_decay;
+use crate::units::Milliseconds;
 
 /// The time constant with which the demand in the owner's last state fades.
 const OWNER_STATE_DECAY_MS: f64 = 2000.0;
@@ -48,7 +49,7 @@
 fn poll_probability(ledger: &ClientLedger, cost: f64, needs_permit: bool, terms: &ClientTerms) -> f64 {
     let plan = terms.plan;
     let (demand, granted) = ledger.owner_state().map_or((0.0, 0.0), |ReceivedState { at_ms, state }| {
-        let decay = exponential_decay(terms.now_ms - at_ms, OWNER_STATE_DECAY_MS);
+        let decay = exponential_decay(Milliseconds(terms.now_ms - at_ms), Milliseconds(OWNER_STATE_DECAY_MS));
         (state.demand * decay, state.granted)
     });
     let mut sustainable = if plan.refill_rate > 0.0 { plan.refill_rate } else { f64::INFINITY };
--- a/src/endpoint_model/estimates.rs
+++ b/src/endpoint_model/estimates.rs
@@ -2,7 +2,8 @@
 
 use super::parameters::ModelContext;
 use super::records::{EndpointRecord, FleetEstimates};
-use crate::statistics::{AgingReport, exponential_decay, geometric_step};
+use crate::statistics::{TimestampedSample, exponential_decay, geometric_step};
+use crate::units::{Milliseconds, Timestamp};
 
 /// Estimates as of one moment.
 pub(crate) struct Estimator<'a> {
@@ -44,18 +45,24 @@
         let peer_mean = self.blend(self.fleet.reported_others, mean_guess);
         // Peers see the same rush: the mean alone lags behind a queue that all of them build at once.
         let own = endpoint.in_flight_count();
-        let own_usual =
-            endpoint
-                .mean_in_flight
-                .mean(own, self.now_ms, parameters.in_flight_window_ms);
+        let own_usual = endpoint.mean_in_flight.mean(
+            own,
+            Timestamp(self.now_ms),
+            Milliseconds(parameters.in_flight_window_ms),
+        );
         let own_usual = own_usual.max(parameters.peer_similarity * own);
         let guess = (peer_mean + (own_usual - own_mean) * peers).max(0.0);
         own + self.blend(endpoint.reported_others, guess)
     }
 
-    fn blend(&self, report: Option<AgingReport>, guess: f64) -> f64 {
+    fn blend(&self, report: Option<TimestampedSample>, guess: f64) -> f64 {
         let window_ms = self.context.parameters.report_window_ms;
-        AgingReport::blend(report, guess, self.now_ms, window_ms)
+        TimestampedSample::estimate(
+            report,
+            guess,
+            Timestamp(self.now_ms),
+            Milliseconds(window_ms),
+        )
     }
 
     /// The mean over time of this gateway's attempts in flight at all endpoints.
@@ -64,8 +71,8 @@
         let gauge = &self.fleet.mean_in_flight;
         gauge.mean(
             level,
-            self.now_ms,
-            self.context.parameters.in_flight_window_ms,
+            Timestamp(self.now_ms),
+            Milliseconds(self.context.parameters.in_flight_window_ms),
         )
     }
 
@@ -81,7 +88,10 @@
             geometric_step(
                 of_kind,
                 learned,
-                exponential_decay(age_ms, self.context.parameters.service_time_window_ms),
+                exponential_decay(
+                    Milliseconds(age_ms),
+                    Milliseconds(self.context.parameters.service_time_window_ms),
+                ),
             )
         })
     }
@@ -105,9 +115,10 @@
 
     /// How much an endpoint fails beyond the fleet's average.
     pub fn excess_failure_rate(&self, endpoint: &EndpointRecord) -> f64 {
-        let failure_rate = endpoint
-            .failure_rate
-            .at(self.now_ms, self.context.parameters.failure_window_ms);
+        let failure_rate = endpoint.failure_rate.at(
+            Timestamp(self.now_ms),
+            Milliseconds(self.context.parameters.failure_window_ms),
+        );
         (failure_rate - self.fleet.failure_rate).max(0.0)
     }
 }
--- a/src/endpoint_model/learning.rs
+++ b/src/endpoint_model/learning.rs
@@ -4,7 +4,8 @@
 use super::parameters::ModelContext;
 use super::records::{AttemptInFlight, EndpointRecord, FleetEstimates};
 use crate::events::{AttemptOutcome, AttemptResult};
-use crate::statistics::{AgingReport, arithmetic_step, geometric_step};
+use crate::statistics::{TimestampedSample, arithmetic_step, geometric_step};
+use crate::units::{Milliseconds, Timestamp};
 
 /// The mean latency to assume before there are answers.
 pub(super) fn initial_mean_latency_ms(context: &ModelContext) -> f64 {
@@ -24,7 +25,7 @@
 impl Estimator<'_> {
     /// What is thought of an endpoint now.
     pub(super) fn prior(&self, endpoint: &EndpointRecord) -> Prior {
-        let last_failure_update_ms = endpoint.failure_rate.updated_at_ms();
+        let last_failure_update_ms = endpoint.failure_rate.updated_at().as_f64();
         Prior {
             service_time_ms: self.service_time_ms(endpoint),
             is_warm: self.warmth(endpoint) >= 1.0,
@@ -74,12 +75,7 @@
 
     fn learn_load(&mut self, reported_in_flight: f64) {
         let others = (reported_in_flight - self.endpoint.in_flight_count()).max(0.0);
-        let report = |value| {
-            Some(AgingReport {
-                received_at_ms: self.now_ms,
-                value,
-            })
-        };
+        let report = |value| Some(TimestampedSample::new(value, Timestamp(self.now_ms)));
         self.endpoint.reported_others = report(others);
         let fleet_report = self.fleet.reported_others;
         let mean = fleet_report.map_or(others, |report| report.value);
@@ -95,10 +91,13 @@
         let parameters = &self.context.parameters;
         let weight = self.prior.failure_smoothing;
         let failure_rate = &mut self.endpoint.failure_rate;
-        let remaining = failure_rate.at(self.now_ms, parameters.failure_window_ms) * (1.0 - weight);
+        let remaining = failure_rate.at(
+            Timestamp(self.now_ms),
+            Milliseconds(parameters.failure_window_ms),
+        ) * (1.0 - weight);
         failure_rate.set(
             remaining + weight * parameters.failure_value * failure,
-            self.now_ms,
+            Timestamp(self.now_ms),
         );
         let fleet_rate = self.fleet.failure_rate;
         self.fleet.failure_rate = arithmetic_step(fleet_rate, failure, parameters.fleet_smoothing);
--- a/src/endpoint_model/mod.rs
+++ b/src/endpoint_model/mod.rs
@@ -14,6 +14,7 @@
 };
 use crate::records::PossibleExecution;
 use crate::settings::Settings;
+use crate::units::{Milliseconds, Timestamp};
 use learning::{Learning, initial_mean_latency_ms};
 use records::{AttemptInFlight, FleetEstimates};
 use std::collections::{BTreeMap, BTreeSet};
@@ -189,9 +190,11 @@
     fn advance_fleet_mean(&mut self, now_ms: f64) {
         let fleet = &mut self.fleet;
         let level = fleet.in_flight as f64;
-        fleet
-            .mean_in_flight
-            .advance(level, now_ms, self.context.parameters.in_flight_window_ms);
+        fleet.mean_in_flight.advance(
+            level,
+            Timestamp(now_ms),
+            Milliseconds(self.context.parameters.in_flight_window_ms),
+        );
     }
 
     /// Estimates as of now.
--- a/src/endpoint_model/records.rs
+++ b/src/endpoint_model/records.rs
@@ -2,7 +2,8 @@
 //! modules beside this one.
 
 use crate::events::{EndpointState, RequestId};
-use crate::statistics::{AgingReport, DecayingValue, TimeAveragedGauge};
+use crate::statistics::{DecayingValue, TimeAveragedGauge, TimestampedSample};
+use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
 /// An attempt that this gateway has in flight at an endpoint.
@@ -36,7 +37,7 @@
     /// When the service time was last learned, also by a former incarnation; 0 for never.
     pub service_time_learned_at_ms: f64,
     /// The requests from other gateways that it reported in flight.
-    pub reported_others: Option<AgingReport>,
+    pub reported_others: Option<TimestampedSample>,
     /// Average of attempts, which count 2 where they failed and 0 otherwise.
     pub failure_rate: DecayingValue,
 }
@@ -50,7 +51,8 @@
     /// Takes the time up to now into the mean number of attempts in flight, before that number changes.
     pub fn advance_mean_in_flight(&mut self, now_ms: f64, time_constant_ms: f64) {
         let level = self.in_flight_count();
-        self.mean_in_flight.advance(level, now_ms, time_constant_ms);
+        self.mean_in_flight
+            .advance(level, Timestamp(now_ms), Milliseconds(time_constant_ms));
     }
 
     /// Takes an attempt out of those in flight, if it is one of them.
@@ -92,5 +94,5 @@
     pub in_flight: usize,
     pub mean_in_flight: TimeAveragedGauge,
     /// The mean over endpoints of what they report to have in flight from other gateways.
-    pub reported_others: Option<AgingReport>,
+    pub reported_others: Option<TimestampedSample>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,6 +67,7 @@
 mod settings;
 mod settings_document;
 pub mod statistics;
+mod token_bucket;
 mod units;
 
 pub use engine::DecisionEngine;
@@ -76,4 +77,5 @@
     ClassDocument, DiscoveryMode, IdempotencyDocument, LimitsDocument, PlanDocument, RulesDocument,
     SettingsDocument,
 };
+pub use token_bucket::{BucketLimits, Refill, TokenBucket};
 pub use units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
--- a/src/records/client_ledger.rs
+++ b/src/records/client_ledger.rs
@@ -3,7 +3,9 @@
 use super::LocalPermits;
 use crate::gossip::OwnerState;
 use crate::settings::Plan;
-use crate::statistics::{BucketLimits, DecayingValue, TokenBucket};
+use crate::statistics::DecayingValue;
+use crate::token_bucket::{BucketLimits, TokenBucket};
+use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
 /// The owner's state as it was last received.
 #[derive(Clone, Copy)]
@@ -53,7 +55,7 @@
             demand: DecayingValue::default(),
             unreported_demand: 0.0,
             prefetch: Prefetch::default(),
-            quota_allotment: TokenBucket::with_level(plan.burst),
+            quota_allotment: TokenBucket::with_level(Tokens(plan.burst)),
             hard_limit_allotment: TokenBucket::default(),
             allotments_at_ms: now_ms,
         }
@@ -68,25 +70,26 @@
         hard_limit_fraction: f64,
         now_ms: f64,
     ) {
-        let elapsed_ms = now_ms - self.allotments_at_ms;
+        let elapsed = Milliseconds(now_ms - self.allotments_at_ms);
         self.allotments_at_ms = now_ms;
         let gateways = f64::from(gateways);
         let fraction = hard_limit_fraction / gateways;
         let hard_limit = BucketLimits {
-            tokens_per_second: plan.hard_limit_rate * fraction,
-            burst: plan.hard_limit_burst * fraction,
+            refill_rate: TokensPerSecond(plan.hard_limit_rate * fraction),
+            burst: Tokens(plan.hard_limit_burst * fraction),
         };
-        self.hard_limit_allotment.refill(hard_limit, elapsed_ms);
+        self.hard_limit_allotment.refill(hard_limit, elapsed);
         let quota = BucketLimits {
-            tokens_per_second: plan.refill_rate / gateways,
-            burst: plan.burst / gateways,
+            refill_rate: TokensPerSecond(plan.refill_rate / gateways),
+            burst: Tokens(plan.burst / gateways),
         };
-        self.quota_allotment.refill(quota, elapsed_ms);
+        self.quota_allotment.refill(quota, elapsed);
     }
 
     /// Counts the cost of a request.
     pub(crate) fn record_demand(&mut self, cost: f64, now_ms: f64, window_ms: f64) {
-        self.demand.add_event(cost, now_ms, window_ms);
+        self.demand
+            .add_event(cost, Timestamp(now_ms), Milliseconds(window_ms));
     }
 
     /// Tokens a second that were asked for here, as of the last request.
@@ -159,21 +162,21 @@
 
     /// The tokens left of the quota's allotment.
     pub(crate) fn quota_allotment(&self) -> f64 {
-        self.quota_allotment.level()
+        self.quota_allotment.level().as_f64()
     }
 
     /// Charges the quota's allotment.
     pub(crate) fn charge_quota(&mut self, cost: f64) {
-        self.quota_allotment.take(cost);
+        self.quota_allotment.take(Tokens(cost));
     }
 
     /// The tokens left of the hard limit's allotment.
     pub(crate) fn hard_limit_allotment(&self) -> f64 {
-        self.hard_limit_allotment.level()
+        self.hard_limit_allotment.level().as_f64()
     }
 
     /// Charges the hard limit's allotment.
     pub(crate) fn charge_hard_limit(&mut self, cost: f64) {
-        self.hard_limit_allotment.take(cost);
+        self.hard_limit_allotment.take(Tokens(cost));
     }
 }
--- a/src/records/owner_ledger.rs
+++ b/src/records/owner_ledger.rs
@@ -3,7 +3,9 @@
 use super::{BoundedHistory, PermitPool};
 use crate::gossip::{OwnerState, PermitId, QuotaRequest};
 use crate::settings::Plan;
-use crate::statistics::{BucketLimits, TokenBucket, exponential_decay};
+use crate::statistics::exponential_decay;
+use crate::token_bucket::{BucketLimits, TokenBucket};
+use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 use std::collections::VecDeque;
 
 /// How an owner's ledger is kept.
@@ -39,7 +41,7 @@
     pub(crate) fn new(plan: &Plan, now_ms: f64) -> OwnerLedger {
         OwnerLedger {
             updated_at_ms: now_ms,
-            bucket: TokenBucket::with_level(plan.burst),
+            bucket: TokenBucket::with_level(Tokens(plan.burst)),
             overflow: 0.0,
             hard_limit: TokenBucket::default(),
             demand: 0.0,
@@ -60,7 +62,7 @@
         OwnerState {
             demand: self.demand,
             granted: self.granted,
-            tokens: self.bucket.level(),
+            tokens: self.bucket.level().as_f64(),
         }
     }
 
@@ -72,38 +74,39 @@
         permit_lease_ms: f64,
         now_ms: f64,
     ) {
-        let elapsed_ms = now_ms - self.updated_at_ms;
+        let elapsed = Milliseconds(now_ms - self.updated_at_ms);
         self.updated_at_ms = now_ms;
-        self.refill(plan, parameters, elapsed_ms);
+        self.refill(plan, parameters, elapsed);
         self.permits.expire(permit_lease_ms, now_ms);
         self.queue.retain(|request| request.expires_at_ms > now_ms);
     }
 
-    fn refill(&mut self, plan: &Plan, parameters: &OwnerLedgerParameters, elapsed_ms: f64) {
+    fn refill(&mut self, plan: &Plan, parameters: &OwnerLedgerParameters, elapsed: Milliseconds) {
         let limits = BucketLimits {
-            tokens_per_second: plan.refill_rate,
-            burst: plan.burst,
+            refill_rate: TokensPerSecond(plan.refill_rate),
+            burst: Tokens(plan.burst),
         };
-        let refill = self.bucket.refill(limits, elapsed_ms);
-        let decay = exponential_decay(elapsed_ms, parameters.demand_window_ms);
-        self.overflow = self.overflow * decay + refill.unlimited_level - refill.level;
+        let refill = self.bucket.refill(limits, elapsed);
+        let decay = exponential_decay(elapsed, Milliseconds(parameters.demand_window_ms));
+        self.overflow =
+            self.overflow * decay + refill.unlimited_level.as_f64() - refill.level.as_f64();
         let leased = BucketLimits {
-            tokens_per_second: parameters.leased_rate_fraction * plan.hard_limit_rate,
-            burst: parameters.leased_burst_fraction * plan.hard_limit_burst,
+            refill_rate: TokensPerSecond(parameters.leased_rate_fraction * plan.hard_limit_rate),
+            burst: Tokens(parameters.leased_burst_fraction * plan.hard_limit_burst),
         };
-        self.hard_limit.refill(leased, elapsed_ms);
+        self.hard_limit.refill(leased, elapsed);
         self.demand *= decay;
         self.granted *= decay;
     }
 
     /// The tokens in the bucket; below zero while it is overdrawn.
     pub(crate) fn tokens(&self) -> f64 {
-        self.bucket.level()
+        self.bucket.level().as_f64()
     }
 
     /// The tokens that the hard limit still lets the owner lease.
     pub(crate) fn leasable(&self) -> f64 {
-        self.hard_limit.level()
+        self.hard_limit.level().as_f64()
     }
 
     /// The number of permits that are out.
@@ -151,8 +154,8 @@
         parameters: &OwnerLedgerParameters,
         now_ms: f64,
     ) {
-        self.bucket.take(cost);
-        self.hard_limit.take(cost);
+        self.bucket.take(Tokens(cost));
+        self.hard_limit.take(Tokens(cost));
         self.granted += cost * 1000.0 / parameters.demand_window_ms;
         if request.needs_permit {
             self.permits.lease(request.permit_id(), now_ms);
@@ -163,7 +166,7 @@
 
     /// Charges tokens that were used without a grant, or takes back unused ones (`cost` below zero), and a permit.
     pub(crate) fn settle(&mut self, cost: f64, permit: Option<PermitId>, plan: &Plan) {
-        self.bucket.settle(cost, plan.burst);
+        self.bucket.settle(Tokens(cost), Tokens(plan.burst));
         if let Some(permit) = permit {
             self.permits.release(permit);
         }
@@ -177,7 +180,7 @@
         }
         let charged = cost - cost.min(self.overflow);
         self.overflow -= cost - charged;
-        self.bucket.take_without_debt(charged);
+        self.bucket.take_without_debt(Tokens(charged));
     }
 
     /// Renews the lease of a permit. One that had expired is leased again, unless `capacity` permits are out.
--- a/src/statistics/mod.rs
+++ b/src/statistics/mod.rs
@@ -1,11 +1,10 @@
-//! Generic estimators: decaying values, moving averages, a sliding window, a token bucket, a
-//! savings budget and a weighted order.
+//! Generic estimators: decaying values, moving averages, a sliding window, a savings budget and a
+//! weighted order.
 //!
 //! The types here only store and compute. They read no clock and hold no tuning constants: the
-//! caller passes the time, in milliseconds on a clock that only moves forward, together with the
-//! time constant or the weight. Choices that are made from the results belong to the caller.
+//! caller passes the time, on a clock that only moves forward, together with the time constant or
+//! the weight. Choices that are made from the results belong to the caller.
 
-mod aging_report;
 mod decay;
 mod moving_average;
 mod ratio_bands;
@@ -13,9 +12,8 @@
 mod savings_budget;
 mod sliding_window;
 mod time_averaged_gauge;
-mod token_bucket;
+mod timestamped_sample;
 
-pub use aging_report::AgingReport;
 pub use decay::{DecayingValue, exponential_decay};
 pub use moving_average::{arithmetic_step, geometric_step};
 pub use ratio_bands::RatioBands;
@@ -23,4 +21,4 @@
 pub use savings_budget::SavingsBudget;
 pub use sliding_window::{SlidingWindow, Tally, WindowShape};
 pub use time_averaged_gauge::TimeAveragedGauge;
-pub use token_bucket::{BucketLimits, Refill, TokenBucket};
+pub use timestamped_sample::TimestampedSample;
--- a/src/statistics/sliding_window.rs
+++ b/src/statistics/sliding_window.rs
@@ -1,16 +1,18 @@
 //! Counts over a sliding window of slots that close by time and by count.
 
+use crate::units::{Milliseconds, Timestamp};
+
 /// How a window is cut into slots.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowShape {
     /// The number of slots, at least one. The oldest slot is dropped when a new one opens.
     pub slots: usize,
     /// A slot with enough events closes after this time.
-    pub slot_ms: f64,
+    pub slot_duration: Milliseconds,
     /// The number of events that is enough.
     pub min_slot_events: u32,
-    /// A slot closes after this time however few its events are. Not less than `slot_ms`.
-    pub max_slot_ms: f64,
+    /// A slot closes after this time however few its events are. Not less than `slot_duration`.
+    pub max_slot_duration: Milliseconds,
 }
 
 /// The number of events, and how many of them were accepted.
@@ -31,45 +33,45 @@
     shape: WindowShape,
     slots: Vec<Vec<Tally>>,
     open_slot: usize,
-    opened_at_ms: f64,
+    opened_at: Timestamp,
     open_slot_events: u32,
 }
 
 impl SlidingWindow {
-    /// An empty window whose first slot opens at time 0.
+    /// An empty window whose first slot opens at [`Timestamp::ZERO`].
     #[must_use]
     pub fn new(shape: WindowShape, lanes: usize) -> Self {
         SlidingWindow {
             shape,
             slots: vec![vec![Tally::default(); lanes]; shape.slots],
             open_slot: 0,
-            opened_at_ms: 0.0,
+            opened_at: Timestamp::ZERO,
             open_slot_events: 0,
         }
     }
 
     /// Closes the slots that are over by now.
-    pub fn advance(&mut self, now_ms: f64) {
-        let mut slot_age_ms = now_ms - self.opened_at_ms;
-        while self.open_slot_is_over(slot_age_ms) {
-            slot_age_ms = if self.open_slot_has_enough() {
-                0.0
+    pub fn advance(&mut self, now: Timestamp) {
+        let mut slot_age = now - self.opened_at;
+        while self.open_slot_is_over(slot_age) {
+            slot_age = if self.open_slot_has_enough() {
+                Milliseconds::ZERO
             } else {
-                slot_age_ms - self.shape.max_slot_ms
+                slot_age - self.shape.max_slot_duration
             };
             // After a long silence one round over all slots empties the window.
-            slot_age_ms = slot_age_ms.min(self.shape.max_slot_ms * self.shape.slots as f64);
+            slot_age = slot_age.min(self.shape.max_slot_duration * self.shape.slots as f64);
             self.open_next_slot();
         }
-        self.opened_at_ms = now_ms - slot_age_ms;
+        self.opened_at = now - slot_age;
     }
 
     /// Counts one event of a lane.
     ///
     /// # Panics
     /// When the window has no such lane.
-    pub fn record(&mut self, lane: usize, accepted: bool, now_ms: f64) {
-        self.advance(now_ms);
+    pub fn record(&mut self, lane: usize, accepted: bool, now: Timestamp) {
+        self.advance(now);
         let tally = &mut self.slots[self.open_slot][lane];
         tally.total += 1.0;
         tally.accepted += f64::from(u8::from(accepted));
@@ -95,9 +97,9 @@
         self.open_slot_events >= self.shape.min_slot_events
     }
 
-    fn open_slot_is_over(&self, slot_age_ms: f64) -> bool {
-        slot_age_ms >= self.shape.max_slot_ms
-            || (slot_age_ms >= self.shape.slot_ms && self.open_slot_has_enough())
+    fn open_slot_is_over(&self, slot_age: Milliseconds) -> bool {
+        slot_age >= self.shape.max_slot_duration
+            || (slot_age >= self.shape.slot_duration && self.open_slot_has_enough())
     }
 
     fn open_next_slot(&mut self) {
--- a/src/statistics/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,29 +1,29 @@
 //! A token bucket that can be overdrawn.
 
-const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
 /// How a bucket fills.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketLimits {
-    /// Tokens added each second.
-    pub tokens_per_second: f64,
+    /// The rate at which tokens are added.
+    pub refill_rate: TokensPerSecond,
     /// The most tokens that the bucket holds.
-    pub burst: f64,
+    pub burst: Tokens,
 }
 
 /// What a refill did to a bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refill {
     /// The level that the bucket would have without its limit.
-    pub unlimited_level: f64,
+    pub unlimited_level: Tokens,
     /// The level that it has.
-    pub level: f64,
+    pub level: Tokens,
 }
 
 impl Refill {
     /// The tokens that did not fit.
     #[must_use]
-    pub fn overflow(&self) -> f64 {
+    pub fn overflow(&self) -> Tokens {
         self.unlimited_level - self.level
     }
 }
@@ -34,26 +34,25 @@
 /// The limits come with each refill, since they may change while the level stays.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TokenBucket {
-    level: f64,
+    level: Tokens,
 }
 
 impl TokenBucket {
     /// A bucket that holds `level` tokens.
     #[must_use]
-    pub fn with_level(level: f64) -> Self {
+    pub fn with_level(level: Tokens) -> Self {
         TokenBucket { level }
     }
 
     /// The tokens in the bucket; negative when it is overdrawn.
     #[must_use]
-    pub fn level(&self) -> f64 {
+    pub fn level(&self) -> Tokens {
         self.level
     }
 
-    /// Adds the tokens of `elapsed_ms`, up to the burst.
-    pub fn refill(&mut self, limits: BucketLimits, elapsed_ms: f64) -> Refill {
-        let added = limits.tokens_per_second * elapsed_ms / MILLISECONDS_PER_SECOND;
-        let unlimited_level = self.level + added;
+    /// Adds the tokens of the time that has passed since the last refill, up to the burst.
+    pub fn refill(&mut self, limits: BucketLimits, elapsed: Milliseconds) -> Refill {
+        let unlimited_level = self.level + limits.refill_rate.over(elapsed);
         self.level = unlimited_level.min(limits.burst);
         Refill {
             unlimited_level,
@@ -62,13 +61,13 @@
     }
 
     /// Takes tokens, into debt when the bucket holds fewer.
-    pub fn take(&mut self, tokens: f64) {
+    pub fn take(&mut self, tokens: Tokens) {
         self.level -= tokens;
     }
 
     /// Takes tokens down to an empty bucket. A bucket in debt stays as it is.
-    pub fn take_without_debt(&mut self, tokens: f64) {
-        self.level = (self.level - tokens).max(self.level.min(0.0));
+    pub fn take_without_debt(&mut self, tokens: Tokens) {
+        self.level = (self.level - tokens).max(self.level.min(Tokens::ZERO));
     }
 
     /// Takes tokens, or gives them back where `tokens` is negative, between a debt of `burst` and a
@@ -76,7 +75,7 @@
     ///
     /// # Panics
     /// When `burst` is negative or not a number.
-    pub fn settle(&mut self, tokens: f64, burst: f64) {
+    pub fn settle(&mut self, tokens: Tokens, burst: Tokens) {
         self.level = (self.level - tokens).clamp(-burst, burst);
     }
 }
--- a/tests/statistics/main.rs
+++ b/tests/statistics/main.rs
@@ -2,7 +2,8 @@
 
 mod assertions;
 mod averages;
-mod budgets;
 mod ratio_bands;
 mod ring_arc;
+mod savings_budget;
 mod sliding_window;
+mod token_bucket;
--- a/tests/statistics/sliding_window.rs
+++ b/tests/statistics/sliding_window.rs
@@ -1,6 +1,7 @@
 //! The sliding window of accepted and rejected events.
 
 use marlshelf::statistics::{SlidingWindow, Tally, WindowShape};
+use marlshelf::{Milliseconds, Timestamp};
 
 fn tally(total: u32, accepted: u32) -> Tally {
     Tally {
@@ -12,17 +13,17 @@
 /// Three slots of 100 ms and two events, or of 1,000 ms.
 const SHAPE: WindowShape = WindowShape {
     slots: 3,
-    slot_ms: 100.0,
+    slot_duration: Milliseconds(100.0),
     min_slot_events: 2,
-    max_slot_ms: 1000.0,
+    max_slot_duration: Milliseconds(1000.0),
 };
 
 #[test]
 fn a_window_counts_each_lane_for_itself() {
     let mut window = SlidingWindow::new(SHAPE, 2);
-    window.record(0, true, 10.0);
-    window.record(1, false, 20.0);
-    window.record(1, true, 30.0);
+    window.record(0, true, Timestamp(10.0));
+    window.record(1, false, Timestamp(20.0));
+    window.record(1, true, Timestamp(30.0));
     assert_eq!(window.tally(0), tally(1, 1));
     assert_eq!(window.tally(1), tally(2, 1));
 }
@@ -32,38 +33,38 @@
     let mut window = SlidingWindow::new(SHAPE, 1);
     // Two events in each slot of 100 ms: three slots hold six events.
     for event in 0..20 {
-        window.record(0, false, f64::from(event) * 50.0);
+        window.record(0, false, Timestamp(f64::from(event) * 50.0));
     }
     assert_eq!(window.tally(0), tally(6, 0));
-    window.advance(1000.0);
+    window.advance(Timestamp(1000.0));
     assert_eq!(window.tally(0), tally(4, 0));
 }
 
 #[test]
 fn a_slot_with_too_few_events_stays_open_up_to_its_longest_time() {
     let mut window = SlidingWindow::new(SHAPE, 1);
-    window.record(0, true, 0.0);
-    window.advance(999.0);
-    window.record(0, true, 999.0);
+    window.record(0, true, Timestamp(0.0));
+    window.advance(Timestamp(999.0));
+    window.record(0, true, Timestamp(999.0));
     // Both are in the first slot, which now has enough and is over, so two more slots follow it.
-    window.record(0, true, 999.0);
+    window.record(0, true, Timestamp(999.0));
     assert_eq!(window.tally(0), tally(3, 3));
-    window.advance(1999.0);
+    window.advance(Timestamp(1999.0));
     assert_eq!(window.tally(0), tally(3, 3));
-    window.advance(2999.0);
+    window.advance(Timestamp(2999.0));
     assert_eq!(window.tally(0), tally(1, 1));
 }
 
 #[test]
 fn a_long_silence_empties_the_window() {
     let mut window = SlidingWindow::new(SHAPE, 1);
-    window.record(0, true, 0.0);
-    window.advance(2999.0);
+    window.record(0, true, Timestamp(0.0));
+    window.advance(Timestamp(2999.0));
     assert_eq!(window.tally(0), tally(1, 1));
-    window.advance(3000.0);
+    window.advance(Timestamp(3000.0));
     assert_eq!(window.tally(0), tally(0, 0));
-    window.record(0, true, 3000.0);
+    window.record(0, true, Timestamp(3000.0));
     // The number of steps does not grow with the silence.
-    window.advance(1e15);
+    window.advance(Timestamp(1e15));
     assert_eq!(window.tally(0), tally(0, 0));
 }
