--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -27,26 +27,44 @@
         let mut pending = PendingRequest::new(request, gateways, tier, number, self.now_ms);
         pending.waits_until_ms = self.wait_limit_ms(&pending);
         let account = pending.account;
-        let Some(lease) = self.plan_lease(&pending) else { return self.reject(&pending.request) };
+        let Some(lease) = self.plan_lease(&pending) else {
+            return self.reject(&pending.request);
+        };
         if account.owner == self.settings.gateway {
             return self.take_owned_quota(pending, &lease);
         }
         self.request_quota(&pending, &lease);
         self.settle_usage(account, -lease.expired, None);
         if lease.uses_prefetched {
-            return self.admit(PendingRequest { authorization: Authorization::Prefetched, ..pending });
+            return self.admit(PendingRequest {
+                authorization: Authorization::Prefetched,
+                ..pending
+            });
         }
         self.await_response(pending);
     }
 
     fn plan_lease(&mut self, pending: &PendingRequest) -> Option<LeasePlan> {
         let settings = self.settings.clone();
-        let terms = ClientTerms::new(&settings, pending, self.endpoints.mean_latency_ms(), self.now_ms);
-        plan_lease(&mut self.tenant(pending.account).client, pending.request.cost, &terms)
+        let terms = ClientTerms::new(
+            &settings,
+            pending,
+            self.endpoints.mean_latency_ms(),
+            self.now_ms,
+        );
+        plan_lease(
+            &mut self.tenant(pending.account).client,
+            pending.request.cost,
+            &terms,
+        )
     }
 
     fn quota_request(&self, pending: &PendingRequest, needs_permit: bool) -> QuotaRequest {
-        pending.to_quota_request(self.settings.gateway, needs_permit, self.wait_limit_ms(pending))
+        pending.to_quota_request(
+            self.settings.gateway,
+            needs_permit,
+            self.wait_limit_ms(pending),
+        )
     }
 
     /// Decides as the owner, with nothing sent.
@@ -70,12 +88,18 @@
         if lease.uses_prefetched {
             request.cost = 0.0;
         }
-        let Some(known) = self.tenants.get_mut(&pending.account.tenant) else { return };
+        let Some(known) = self.tenants.get_mut(&pending.account.tenant) else {
+            return;
+        };
         if lease.prefetch > 0.0 {
             known.client.prefetch_requested(self.now_ms);
         }
         let demand = known.client.take_unreported_demand();
-        let message = GossipMessage::RequestQuota { plan: pending.account.plan, request, demand };
+        let message = GossipMessage::RequestQuota {
+            plan: pending.account.plan,
+            request,
+            demand,
+        };
         self.actions.send_to_owner(pending.account, &message, 0.0);
     }
 
@@ -84,7 +108,11 @@
         let objective_ms = self.settings.classes[pending.request.class].latency_objective_ms;
         let half_of_wait_ms = (pending.waits_until_ms - self.now_ms) / 2.0;
         let silence_ms = (OWNER_SILENCE_FRACTION * objective_ms).min(half_of_wait_ms);
-        let first_wait_ms = if self.settings.gossip_enabled { silence_ms / 2.0 } else { 0.0 };
+        let first_wait_ms = if self.settings.gossip_enabled {
+            silence_ms / 2.0
+        } else {
+            0.0
+        };
         pending.waits_until_ms = self.now_ms + first_wait_ms;
         pending.waiting_for = WaitingFor::Response { resent: false };
         pending.authorization = Authorization::Unconfirmed;
@@ -103,17 +131,24 @@
     /// Keeps a request until what it waits for comes, or its time is up.
     pub(super) fn park(&mut self, pending: PendingRequest) {
         let delay_ms = (pending.waits_until_ms - self.now_ms).max(0.0);
-        self.actions.set_request_timer(pending.quota_request, delay_ms);
+        self.actions
+            .set_request_timer(pending.quota_request, delay_ms);
         self.requests.park(pending);
     }
 
     /// The timer of a request has fired: its wait is over, or it is time to renew its permit.
     pub(crate) fn on_request_timer(&mut self, id: QuotaRequestId) {
         let now_ms = self.now_ms + TIMER_TOLERANCE_MS;
-        if !self.requests.waits_until_ms(id).is_some_and(|until_ms| now_ms >= until_ms) {
+        if !self
+            .requests
+            .waits_until_ms(id)
+            .is_some_and(|until_ms| now_ms >= until_ms)
+        {
             return self.renew_permit(id);
         }
-        let Some(pending) = self.requests.take(id) else { return };
+        let Some(pending) = self.requests.take(id) else {
+            return;
+        };
         let is_first = pending.waiting_for == WaitingFor::Response { resent: false };
         if self.settings.gossip_enabled && is_first {
             return self.resend_quota_request(pending);
@@ -129,7 +164,11 @@
     /// Sends a quota request again, as its datagram or the response was lost. The owner charges it once.
     fn resend_quota_request(&mut self, mut pending: PendingRequest) {
         let request = self.quota_request(&pending, self.shares_permits(pending.account));
-        let message = GossipMessage::RequestQuota { plan: pending.account.plan, request, demand: 0.0 };
+        let message = GossipMessage::RequestQuota {
+            plan: pending.account.plan,
+            request,
+            demand: 0.0,
+        };
         self.actions.send_to_owner(pending.account, &message, 0.0);
         pending.waiting_for = WaitingFor::Response { resent: true };
         pending.waits_until_ms = 2.0 * pending.waits_until_ms - pending.arrived_at_ms;
@@ -138,7 +177,9 @@
 
     /// Whether a request goes ahead although its owner is silent.
     fn passes_unconfirmed(&mut self, pending: &PendingRequest) -> bool {
-        let PendingRequest { request, account, .. } = pending;
+        let PendingRequest {
+            request, account, ..
+        } = pending;
         let draw = self.rng.random::<f64>();
         if pending.waits_for_permit() {
             return false;
@@ -146,14 +187,19 @@
         let gateways = f64::from(request.shard_size.max(1));
         let permits = f64::from(self.settings.plans[account.plan].max_concurrency) / gateways;
         let tenant = self.tenants.get_mut(&account.tenant);
-        tenant.is_some_and(|tenant| passes_unconfirmed(&mut tenant.client, request.cost, permits, draw))
+        tenant.is_some_and(|tenant| {
+            passes_unconfirmed(&mut tenant.client, request.cost, permits, draw)
+        })
     }
 
     fn record_unconfirmed_usage(&mut self, pending: &PendingRequest) {
-        let penalty = self.settings.plans[pending.account.plan].over_quota_penalty.min(1.0);
+        let penalty = self.settings.plans[pending.account.plan]
+            .over_quota_penalty
+            .min(1.0);
         let cost = pending.request.cost * penalty;
         if self.settings.gossip_enabled && cost > 0.0 {
-            self.unconfirmed_usage.add(pending.account, pending.quota_request, cost);
+            self.unconfirmed_usage
+                .add(pending.account, pending.quota_request, cost);
         }
     }
 
@@ -166,7 +212,12 @@
 
     fn return_lease(&mut self, pending: &PendingRequest) {
         let AccountId { tenant, owner, .. } = pending.account;
-        self.return_unused(tenant, owner, pending.request.cost, pending.authorization.permit());
+        self.return_unused(
+            tenant,
+            owner,
+            pending.request.cost,
+            pending.authorization.permit(),
+        );
     }
 
     /// Forwards a request that its quota covers, once this gateway's own permits, the hard limit, the load
@@ -177,10 +228,14 @@
             return self.wait_for_local_permit(pending);
         }
         // Only now, as other requests of the tenant may have been forwarded while this one waited.
-        let covers =
-            tenant.is_some_and(|tenant| tenant.client.hard_limit_allotment() >= pending.request.cost);
+        let covers = tenant
+            .is_some_and(|tenant| tenant.client.hard_limit_allotment() >= pending.request.cost);
         let over_hard_limit = self.uses_hard_limit_allotment(&pending) && !covers;
-        let endpoint = if over_hard_limit { None } else { self.first_endpoint(&pending) };
+        let endpoint = if over_hard_limit {
+            None
+        } else {
+            self.first_endpoint(&pending)
+        };
         match endpoint {
             Some(endpoint) => self.forward_first(pending, &endpoint),
             None => self.turn_down(&pending, over_hard_limit),
@@ -192,7 +247,11 @@
         pending.waiting_for = WaitingFor::Permit;
         let key = pending.account.tenant;
         let place = self.requests.count_waiting_for_permit(key) + 1;
-        let permits = self.tenants.get(&key).and_then(|tenant| tenant.client.permits.limit()).unwrap_or(1);
+        let permits = self
+            .tenants
+            .get(&key)
+            .and_then(|tenant| tenant.client.permits.limit())
+            .unwrap_or(1);
         let wait_ms = self.endpoints.mean_latency_ms() * place as f64 / f64::from(permits);
         if self.now_ms + wait_ms <= pending.waits_until_ms {
             return self.park(pending);
@@ -209,13 +268,27 @@
 
     fn first_endpoint(&mut self, pending: &PendingRequest) -> Option<EndpointName> {
         let endpoints = self.endpoints.endpoint_count();
-        if self.load_shedder.sheds(pending.tier, self.now_ms, endpoints, &mut self.rng) {
+        if self
+            .load_shedder
+            .sheds(pending.tier, self.now_ms, endpoints, &mut self.rng)
+        {
             return None;
         }
         let class = pending.request.class;
         let max_latency_ms = self.endpoints.acceptable_latency_ms(class);
-        let selection = Selection { class, max_latency_ms, scope: RetryScope::Anywhere, avoid: None };
-        choose_endpoint(&self.endpoints, &self.settings, &selection, self.now_ms, &mut self.rng)
+        let selection = Selection {
+            class,
+            max_latency_ms,
+            scope: RetryScope::Anywhere,
+            avoid: None,
+        };
+        choose_endpoint(
+            &self.endpoints,
+            &self.settings,
+            &selection,
+            self.now_ms,
+            &mut self.rng,
+        )
     }
 
     /// Rejects a request that was shed, or for which no endpoint has capacity.
@@ -233,7 +306,11 @@
     fn forward_first(&mut self, pending: PendingRequest, endpoint: &EndpointName) {
         let uses_allotment = self.uses_hard_limit_allotment(&pending);
         if let Some(tenant) = self.tenants.get_mut(&pending.account.tenant) {
-            tenant.client.charge_hard_limit(if uses_allotment { pending.request.cost } else { 0.0 });
+            tenant.client.charge_hard_limit(if uses_allotment {
+                pending.request.cost
+            } else {
+                0.0
+            });
             tenant.client.permits.acquire();
         }
         let limits_concurrency = self.settings.plans[pending.account.plan].max_concurrency > 0;
@@ -251,12 +328,18 @@
         let class = self.settings.classes.get(request.class);
         let objective_ms = class.map_or(0.0, |class| class.latency_objective_ms);
         let refill_ms = self.tokens_available_in_ms(request).unwrap_or(0.0);
-        let retry_after_ms = if refill_ms > objective_ms { refill_ms.ceil() } else { 0.0 };
+        let retry_after_ms = if refill_ms > objective_ms {
+            refill_ms.ceil()
+        } else {
+            0.0
+        };
         self.actions.reject(request.id, retry_after_ms);
     }
 
     fn tokens_available_in_ms(&self, request: &Request) -> Option<f64> {
-        let tenant = self.tenants.get(&TenantKey::new(&request.tenant, request.plan))?;
+        let tenant = self
+            .tenants
+            .get(&TenantKey::new(&request.tenant, request.plan))?;
         let refill_rate = self.settings.plans[tenant.plan].refill_rate;
         let known = tenant.known_tokens();
         let missing = 1000.0 * (request.cost - known.tokens);
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -9,16 +9,23 @@
 impl Decisions {
     /// Begins an attempt of a request in flight.
     pub(super) fn forward(&mut self, id: RequestId, endpoint: &EndpointName) {
-        let Some(request) = self.requests.in_flight_mut(id) else { return };
+        let Some(request) = self.requests.in_flight_mut(id) else {
+            return;
+        };
         request.attempts += 1;
         let admitted = &request.admitted;
         let class = &self.settings.classes[admitted.request.class];
         // A late answer that earns nothing is not waited for, and its absence is not taken for load.
         let late_answer_earns = class.late_answer_weight > 0.0;
         let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
-        let useful_until_ms = if late_answer_earns { f64::INFINITY } else { objective_at_ms };
+        let useful_until_ms = if late_answer_earns {
+            f64::INFINITY
+        } else {
+            objective_at_ms
+        };
         let deadline_ms = admitted.request.client_deadline_ms.min(useful_until_ms);
-        self.endpoints.attempt_started(id, admitted.request.class, endpoint, self.now_ms);
+        self.endpoints
+            .attempt_started(id, admitted.request.class, endpoint, self.now_ms);
         self.actions.forward(id, endpoint.clone(), deadline_ms);
     }
 
@@ -26,7 +33,9 @@
         if let Some(pending) = self.requests.take_by_request(id) {
             return self.abandon_wait(&pending);
         }
-        let Some(request) = self.requests.in_flight_mut(id) else { return };
+        let Some(request) = self.requests.in_flight_mut(id) else {
+            return;
+        };
         request.client_disconnected = true;
         let tier = request.admitted.tier;
         if !self.is_in_time(id) {
@@ -36,17 +45,21 @@
 
     /// Whether the latency objective of a request is not over yet.
     fn is_in_time(&self, id: RequestId) -> bool {
-        self.requests.in_flight(id).is_some_and(|InFlightRequest { admitted, .. }| {
-            let class = &self.settings.classes[admitted.request.class];
-            admitted.age_ms(self.now_ms) <= class.latency_objective_ms
-        })
+        self.requests
+            .in_flight(id)
+            .is_some_and(|InFlightRequest { admitted, .. }| {
+                let class = &self.settings.classes[admitted.request.class];
+                admitted.age_ms(self.now_ms) <= class.latency_objective_ms
+            })
     }
 
     pub(crate) fn on_attempt_finished(&mut self, outcome: &AttemptOutcome) {
         let id = outcome.request;
         self.learn_from(outcome);
         self.settle_actual_cost(outcome);
-        let Some(request) = self.requests.in_flight(id) else { return };
+        let Some(request) = self.requests.in_flight(id) else {
+            return;
+        };
         let tier = request.admitted.tier;
         let in_time = self.is_in_time(id);
         if request.client_disconnected {
@@ -69,15 +82,22 @@
     /// Takes in what an attempt tells of its endpoint, and whether the request may have been executed there.
     fn learn_from(&mut self, outcome: &AttemptOutcome) {
         let location = self.endpoints.attempt_finished(outcome, self.now_ms);
-        let Some(request) = self.requests.in_flight_mut(outcome.request) else { return };
+        let Some(request) = self.requests.in_flight_mut(outcome.request) else {
+            return;
+        };
         if let Some(execution) = location.filter(|_| may_have_executed(outcome.result)) {
             request.first_execution.get_or_insert(execution);
         }
     }
 
     fn settle_actual_cost(&mut self, outcome: &AttemptOutcome) {
-        let Some(InFlightRequest { admitted, .. }) = self.requests.in_flight(outcome.request) else { return };
-        let difference = outcome.actual_cost.map_or(0.0, |actual| actual - admitted.request.cost);
+        let Some(InFlightRequest { admitted, .. }) = self.requests.in_flight(outcome.request)
+        else {
+            return;
+        };
+        let difference = outcome
+            .actual_cost
+            .map_or(0.0, |actual| actual - admitted.request.cost);
         self.settle_usage(admitted.account, difference, None);
     }
 
@@ -99,7 +119,13 @@
             scope,
             avoid: Some(&outcome.endpoint),
         };
-        choose_endpoint(&self.endpoints, &self.settings, &selection, self.now_ms, &mut self.rng)
+        choose_endpoint(
+            &self.endpoints,
+            &self.settings,
+            &selection,
+            self.now_ms,
+            &mut self.rng,
+        )
     }
 
     /// The final answer to a request whose attempts have failed.
@@ -116,7 +142,11 @@
     /// Forgets a request whose last attempt has ended, and hands on or releases its permit.
     fn finish(&mut self, id: RequestId) -> Option<InFlightRequest> {
         let request = self.requests.end(id)?;
-        let PendingRequest { account, authorization, .. } = request.admitted;
+        let PendingRequest {
+            account,
+            authorization,
+            ..
+        } = request.admitted;
         if let Some(tenant) = self.tenants.get_mut(&account.tenant) {
             tenant.client.permits.release();
         }
@@ -124,7 +154,9 @@
             if let Some(next) = self.requests.take_next_for_permit(account.tenant) {
                 self.admit(next);
             }
-        } else if authorization.permit().is_some() && self.settings.plans[account.plan].max_concurrency > 0 {
+        } else if authorization.permit().is_some()
+            && self.settings.plans[account.plan].max_concurrency > 0
+        {
             self.hand_on_permit(&request.admitted);
         }
         Some(request)
@@ -138,7 +170,11 @@
             return self.settle_usage(finished.account, 0.0, permit);
         };
         self.settle_usage(next.account, next.request.cost, None);
-        let authorization = permit.map_or(Authorization::Unconfirmed, Authorization::InheritedPermit);
-        self.admit(PendingRequest { authorization, ..next });
+        let authorization =
+            permit.map_or(Authorization::Unconfirmed, Authorization::InheritedPermit);
+        self.admit(PendingRequest {
+            authorization,
+            ..next
+        });
     }
 }
--- a/src/decisions/endpoint_selection.rs
+++ b/src/decisions/endpoint_selection.rs
@@ -106,9 +106,18 @@
 }
 
 /// The expected latency, and for excess failures a part of the latency objective.
-fn cost_ms(endpoint: &EndpointRecord, expected_ms: f64, class: usize, estimator: &Estimator) -> f64 {
+fn cost_ms(
+    endpoint: &EndpointRecord,
+    expected_ms: f64,
+    class: usize,
+    estimator: &Estimator,
+) -> f64 {
     let settings = &estimator.context.settings;
-    let zone_factor = if endpoint.zone == settings.zone { 1.0 } else { OTHER_ZONE_FACTOR };
+    let zone_factor = if endpoint.zone == settings.zone {
+        1.0
+    } else {
+        OTHER_ZONE_FACTOR
+    };
     let objective_ms = settings.classes[class].latency_objective_ms;
     expected_ms * zone_factor + estimator.excess_failure_rate(endpoint) * objective_ms
 }
@@ -127,8 +136,15 @@
 impl WarmUpPicks {
     fn new(selection: &Selection, estimator: &Estimator, to_compare: f64) -> Self {
         let overload_multiple = estimator.context.settings.warmup_overload_multiple;
-        let picks = if selection.avoid.is_some() { 1.0 } else { overload_multiple.max(1.0) };
-        WarmUpPicks { left: to_compare * picks, compared: to_compare }
+        let picks = if selection.avoid.is_some() {
+            1.0
+        } else {
+            overload_multiple.max(1.0)
+        };
+        WarmUpPicks {
+            left: to_compare * picks,
+            compared: to_compare,
+        }
     }
 
     /// Whether an endpoint of this warmth may be looked at. Always true of a warm one.
--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -15,8 +15,12 @@
 const ACCEPT_MULTIPLIER: f64 = 2.0;
 /// The sliding window. One of many gateways sees few requests, and a probability made of a handful is noise,
 /// so a slot stays open until it holds a few or has become old.
-const WINDOW: WindowShape =
-    WindowShape { slots: 10, slot_ms: 300.0, min_slot_events: 4, max_slot_ms: 3000.0 };
+const WINDOW: WindowShape = WindowShape {
+    slots: 10,
+    slot_ms: 300.0,
+    min_slot_events: 4,
+    max_slot_ms: 3000.0,
+};
 /// Each tier forwards this many requests a second for each endpoint, from all gateways together, whatever the
 /// probability, so that recovery is seen: a minimum for each gateway would add up to an overload.
 const MIN_FORWARDED_PER_SECOND: f64 = 0.15;
@@ -37,7 +41,12 @@
     pub(super) fn new(settings: Arc<Settings>) -> LoadShedder {
         let mut weights = Vec::new();
         for class in &settings.classes {
-            weights.extend(settings.plans.iter().map(|plan| class.priority_weight * plan.weight));
+            weights.extend(
+                settings
+                    .plans
+                    .iter()
+                    .map(|plan| class.priority_weight * plan.weight),
+            );
         }
         let tiers = RatioBands::new(weights, TIER_RATIO);
         LoadShedder {
@@ -52,7 +61,9 @@
     pub(super) fn tier_of(&self, class: usize, plan: usize) -> Option<PriorityTier> {
         let class = self.settings.classes.get(class)?;
         let plan = self.settings.plans.get(plan)?;
-        Some(PriorityTier(self.tiers.band_of(class.priority_weight * plan.weight)))
+        Some(PriorityTier(
+            self.tiers.band_of(class.priority_weight * plan.weight),
+        ))
     }
 
     /// Counts the final outcome of a request.
@@ -70,8 +81,8 @@
     ) -> bool {
         let probability = self.rejection_probability(tier, now_ms);
         let rejected = probability > 0.0 && rng.random::<f64>() < probability;
-        let min_per_second =
-            MIN_FORWARDED_PER_SECOND * endpoint_count as f64 / f64::from(self.settings.gateway_count);
+        let min_per_second = MIN_FORWARDED_PER_SECOND * endpoint_count as f64
+            / f64::from(self.settings.gateway_count);
         let last_forwarded_at_ms = &mut self.last_forwarded_at_ms[tier.0];
         if rejected && now_ms - *last_forwarded_at_ms < 1000.0 / min_per_second {
             return true;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -73,7 +73,8 @@
 
 fn outbox_limits(settings: &Settings) -> OutboxLimits {
     let multiple = 1.0 + (LARGE_FLEET_INTAKE_MULTIPLE - 1.0) * fleet_scale(settings);
-    let datagrams_per_second = INTAKE_FRACTION * settings.gossip_intake_per_second.max(1.0) * multiple;
+    let datagrams_per_second =
+        INTAKE_FRACTION * settings.gossip_intake_per_second.max(1.0) * multiple;
     let burst = (INTAKE_BURST_SECONDS * datagrams_per_second).max(1.0);
     OutboxLimits {
         datagrams_per_second,
@@ -108,7 +109,11 @@
         self.actions.set_time(now_ms);
     }
 
-    pub(crate) fn on_endpoints_changed(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
+    pub(crate) fn on_endpoints_changed(
+        &mut self,
+        kind: EndpointListKind,
+        endpoints: Vec<Endpoint>,
+    ) {
         self.endpoints.apply_list(kind, endpoints, self.now_ms);
     }
 
@@ -120,8 +125,12 @@
     pub(crate) fn finish_event(&mut self) -> Vec<Action> {
         self.actions.flush_gossip();
         let in_use = |tenant: &Tenant| tenant.client.permits.in_flight() > 0;
-        if self.tenants.evict_idle(TENANT_IDLE_MS, TENANT_IDLE_MS / 10.0, self.now_ms, in_use) {
-            self.unconfirmed_usage.retain_tenants(|tenant| self.tenants.get(&tenant).is_some());
+        if self
+            .tenants
+            .evict_idle(TENANT_IDLE_MS, TENANT_IDLE_MS / 10.0, self.now_ms, in_use)
+        {
+            self.unconfirmed_usage
+                .retain_tenants(|tenant| self.tenants.get(&tenant).is_some());
         }
         self.actions.take()
     }
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -7,7 +7,9 @@
 use crate::gossip::{
     GossipMessage, OwnerState, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey,
 };
-use crate::records::{AccountId, Authorization, ClientLedger, OwnerLedger, OwnerTerms, PendingRequest};
+use crate::records::{
+    AccountId, Authorization, ClientLedger, OwnerLedger, OwnerTerms, PendingRequest,
+};
 use crate::records::{Tenant, WaitingFor};
 use rand::Rng;
 
@@ -42,7 +44,10 @@
         let plan = self.settings.plans[plan].clone();
         let penalty = plan.over_quota_penalty.min(1.0);
         OwnerTerms {
-            reserve: BUCKET_RESERVE * fleet_scale(&self.settings) * self.settings.max_request_cost * penalty,
+            reserve: BUCKET_RESERVE
+                * fleet_scale(&self.settings)
+                * self.settings.max_request_cost
+                * penalty,
             mean_latency_ms: self.endpoints.mean_latency_ms(),
             gossip_enabled: self.settings.gossip_enabled,
             now_ms: self.now_ms,
@@ -53,15 +58,23 @@
     /// The owned account, brought up to now. Its own plan counts, as that in a damaged message may be
     /// another.
     pub(crate) fn owned(&mut self, account: AccountId) -> &mut OwnerLedger {
-        let (settings, lease_ms, now_ms) = (self.settings.clone(), self.permit_lease_ms(), self.now_ms);
+        let (settings, lease_ms, now_ms) =
+            (self.settings.clone(), self.permit_lease_ms(), self.now_ms);
         let tenant = self.tenant(account);
-        tenant.owner.advance(&settings.plans[tenant.plan], &quota_owner::LEDGER, lease_ms, now_ms);
+        tenant.owner.advance(
+            &settings.plans[tenant.plan],
+            &quota_owner::LEDGER,
+            lease_ms,
+            now_ms,
+        );
         &mut tenant.owner
     }
 
     fn serve_owned_queue(&mut self, account: AccountId) {
         let terms = self.owner_terms(account.plan);
-        let Some(tenant) = self.tenants.get_mut(&account.tenant) else { return };
+        let Some(tenant) = self.tenants.get_mut(&account.tenant) else {
+            return;
+        };
         for (request, decision) in quota_owner::serve_queue(&mut tenant.owner, &terms) {
             self.respond(account, &request, decision);
         }
@@ -77,12 +90,19 @@
         // Permits whose release was lost expire by time alone: nothing else would make the queue move.
         self.serve_owned_queue(account);
         let mut terms = self.owner_terms(account.plan);
-        let Some(tenant) = self.tenants.get_mut(&account.tenant) else { return QuotaDecision::Denied };
+        let Some(tenant) = self.tenants.get_mut(&account.tenant) else {
+            return QuotaDecision::Denied;
+        };
         terms.plan = self.settings.plans[tenant.plan].clone();
         quota_owner::decide(&mut tenant.owner, request, demand, &terms)
     }
 
-    pub(crate) fn on_quota_request(&mut self, account: AccountId, request: QuotaRequest, demand: f64) {
+    pub(crate) fn on_quota_request(
+        &mut self,
+        account: AccountId,
+        request: QuotaRequest,
+        demand: f64,
+    ) {
         let decision = self.decide_quota(account, request, demand);
         self.respond(account, &request, decision);
     }
@@ -92,10 +112,17 @@
         if request.gateway == self.settings.gateway {
             return self.on_quota_decision(account.tenant, account.owner, request.id, decision);
         }
-        let Some(tenant) = self.tenants.get(&account.tenant) else { return };
+        let Some(tenant) = self.tenants.get(&account.tenant) else {
+            return;
+        };
         let state = tenant.owner.state();
-        let response = GossipMessage::QuotaResponse { request: request.id, decision, state };
-        self.actions.send_gossip(request.gateway, account.tenant, &response, 0.0);
+        let response = GossipMessage::QuotaResponse {
+            request: request.id,
+            decision,
+            state,
+        };
+        self.actions
+            .send_gossip(request.gateway, account.tenant, &response, 0.0);
     }
 
     pub(crate) fn settle_owned(&mut self, account: AccountId, cost: f64, permit: Option<PermitId>) {
@@ -120,15 +147,31 @@
     }
 
     /// Reports usage that differs from what was granted, and a permit to release.
-    pub(super) fn settle_usage(&mut self, account: AccountId, cost: f64, permit: Option<QuotaRequestId>) {
+    pub(super) fn settle_usage(
+        &mut self,
+        account: AccountId,
+        cost: f64,
+        permit: Option<QuotaRequestId>,
+    ) {
         let AccountId { plan, owner, .. } = account;
         if owner == self.settings.gateway {
-            let permit = permit.map(|request| PermitId { gateway: owner, request });
+            let permit = permit.map(|request| PermitId {
+                gateway: owner,
+                request,
+            });
             return self.settle_owned(account, cost, permit);
         }
         if permit.is_some() || (cost != 0.0 && self.settings.plans[plan].refill_rate > 0.0) {
-            let delay_ms = if permit.is_some() { 0.0 } else { SETTLEMENT_DELAY_MS };
-            self.actions.send_to_owner(account, &GossipMessage::SettleUsage { plan, cost, permit }, delay_ms);
+            let delay_ms = if permit.is_some() {
+                0.0
+            } else {
+                SETTLEMENT_DELAY_MS
+            };
+            self.actions.send_to_owner(
+                account,
+                &GossipMessage::SettleUsage { plan, cost, permit },
+                delay_ms,
+            );
         }
     }
 
@@ -140,11 +183,19 @@
         cost: f64,
         permit: Option<QuotaRequestId>,
     ) {
-        let Some(plan) = self.tenants.get(&key).map(|tenant| tenant.plan) else { return };
-        let account = AccountId { tenant: key, plan, owner };
+        let Some(plan) = self.tenants.get(&key).map(|tenant| tenant.plan) else {
+            return;
+        };
+        let account = AccountId {
+            tenant: key,
+            plan,
+            owner,
+        };
         let shares_permits = self.shares_permits(account);
         let may_keep = !shares_permits && owner != self.settings.gateway;
-        let Some(tenant) = self.tenants.get_mut(&key) else { return };
+        let Some(tenant) = self.tenants.get_mut(&key) else {
+            return;
+        };
         if may_keep && keep_unused(&mut tenant.client, cost, self.now_ms) {
             return;
         }
@@ -155,7 +206,8 @@
 
     /// Whether the gateways of a tenant's shard share the permits of its plan.
     pub(super) fn shares_permits(&self, account: AccountId) -> bool {
-        self.settings.plans[account.plan].max_concurrency > 0 && !self.tenants.has_local_permits(account)
+        self.settings.plans[account.plan].max_concurrency > 0
+            && !self.tenants.has_local_permits(account)
     }
 
     pub(crate) fn on_owner_state(&mut self, tenant: TenantKey, state: OwnerState) {
@@ -178,7 +230,10 @@
                 if cost > 0.0 {
                     self.return_unused(tenant, owner, cost - pending.request.cost, None);
                 }
-                self.admit(PendingRequest { authorization: Authorization::Granted(request), ..pending });
+                self.admit(PendingRequest {
+                    authorization: Authorization::Granted(request),
+                    ..pending
+                });
             }
             (Some(pending), QuotaDecision::Denied) => self.reject(&pending.request),
             (Some(mut pending), QuotaDecision::Queued) => {
@@ -195,7 +250,13 @@
 
     /// A grant that comes too late to be waited for covers the request if it went ahead meanwhile; otherwise
     /// it is returned.
-    fn on_late_grant(&mut self, tenant: TenantKey, owner: GatewayId, request: QuotaRequestId, cost: f64) {
+    fn on_late_grant(
+        &mut self,
+        tenant: TenantKey,
+        owner: GatewayId,
+        request: QuotaRequestId,
+        cost: f64,
+    ) {
         let forwarded = self.requests.forwarded_mut(request);
         match forwarded.map(|forwarded| &mut forwarded.admitted.authorization) {
             Some(authorization) if *authorization == Authorization::Unconfirmed => {
@@ -213,14 +274,17 @@
     }
 
     pub(super) fn set_renewal_timer(&mut self, permit: QuotaRequestId) {
-        self.actions.set_request_timer(permit, self.permit_lease_ms() / RENEWALS_PER_LEASE);
+        self.actions
+            .set_request_timer(permit, self.permit_lease_ms() / RENEWALS_PER_LEASE);
     }
 
     /// Renews the lease of a permit, if a request in flight still uses it.
     pub(super) fn renew_permit(&mut self, permit: QuotaRequestId) {
         let due_ms = self.now_ms + TIMER_TOLERANCE_MS;
         let holder = self.requests.due_permit_holder_mut(permit, due_ms);
-        let Some(account) = holder.map(|holder| holder.admitted.account) else { return };
+        let Some(account) = holder.map(|holder| holder.admitted.account) else {
+            return;
+        };
         if !self.shares_permits(account) {
             return;
         }
@@ -231,9 +295,16 @@
         self.set_renewal_timer(permit);
         let AccountId { plan, owner, .. } = account;
         if owner == self.settings.gateway {
-            self.renew_owned(account, PermitId { gateway: owner, request: permit });
+            self.renew_owned(
+                account,
+                PermitId {
+                    gateway: owner,
+                    request: permit,
+                },
+            );
         } else {
-            self.actions.send_to_owner(account, &GossipMessage::RenewPermit { plan, permit }, 0.0);
+            self.actions
+                .send_to_owner(account, &GossipMessage::RenewPermit { plan, permit }, 0.0);
         }
     }
 }
--- a/src/decisions/quota_owner.rs
+++ b/src/decisions/quota_owner.rs
@@ -36,7 +36,11 @@
     }
     ledger.record_demand(demand, &LEDGER);
     let hard_limit_applies = terms.plan.hard_limit_rate > 0.0 && terms.gossip_enabled;
-    let leasable = if hard_limit_applies { ledger.leasable() } else { f64::INFINITY };
+    let leasable = if hard_limit_applies {
+        ledger.leasable()
+    } else {
+        f64::INFINITY
+    };
     if leasable < request.cost || !bucket_covers(ledger, request.cost, terms) {
         return QuotaDecision::Denied;
     }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -15,7 +15,9 @@
     first: Option<PossibleExecution>,
     now_ms: f64,
 ) -> Option<RetryScope> {
-    let Some(first) = first else { return Some(RetryScope::Anywhere) };
+    let Some(first) = first else {
+        return Some(RetryScope::Anywhere);
+    };
     let in_window = now_ms - first.sent_at_ms < class.deduplication_window_ms;
     match class.idempotency {
         Idempotency::Idempotent => Some(RetryScope::Anywhere),
@@ -37,5 +39,8 @@
 
 /// Whether a client may repeat a request of this class that an endpoint may have executed.
 pub(super) fn client_may_repeat(class: &RequestClass) -> bool {
-    matches!(class.idempotency, Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All))
+    matches!(
+        class.idempotency,
+        Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All)
+    )
 }
--- a/src/decisions/subset.rs
+++ b/src/decisions/subset.rs
@@ -14,5 +14,8 @@
 /// numbers, are spread evenly over the ring.
 pub(super) fn preferred_arc(settings: &Settings, ready_endpoints: f64) -> RingArc {
     let length = GATEWAYS_PER_ENDPOINT / f64::from(settings.gateway_count);
-    RingArc::spread(settings.gateway.0, length.max(MIN_SUBSET_SIZE / ready_endpoints).min(1.0))
+    RingArc::spread(
+        settings.gateway.0,
+        length.max(MIN_SUBSET_SIZE / ready_endpoints).min(1.0),
+    )
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -55,8 +55,6 @@
 #[doc = include_str!("../README.md")]
 struct Readme;
 
-// The layout of the decisions differs from the formatter's defaults, to stay within the cap on their lines; CI checks it.
-#[rustfmt::skip]
 mod decisions;
 mod endpoint_model;
 mod engine;
