--- a/src/decisions/load_shedding.rs
+++ b/src/decisions/load_shedding.rs
@@ -42,7 +42,12 @@
     pub(super) fn new(settings: Arc<Settings>) -> LoadShedder {
         let mut weights = Vec::new();
         for class in &settings.classes {
-            weights.extend(settings.plans.iter().map(|plan| class.priority_weight * plan.weight));
+            weights.extend(
+                settings
+                    .plans
+                    .iter()
+                    .map(|plan| class.priority_weight * plan.weight),
+            );
         }
         let tiers = RatioBands::new(weights, TIER_RATIO);
         LoadShedder {
@@ -57,7 +62,9 @@
     pub(super) fn tier_of(&self, class: usize, plan: usize) -> Option<PriorityTier> {
         let class = self.settings.classes.get(class)?;
         let plan = self.settings.plans.get(plan)?;
-        Some(PriorityTier(self.tiers.band_of(class.priority_weight * plan.weight)))
+        Some(PriorityTier(
+            self.tiers.band_of(class.priority_weight * plan.weight),
+        ))
     }
 
     /// Counts the final outcome of a request.
@@ -75,8 +82,8 @@
     ) -> bool {
         let probability = self.rejection_probability(tier, now_ms);
         let rejected = probability > 0.0 && rng.random::<f64>() < probability;
-        let min_per_second =
-            MIN_FORWARDED_PER_SECOND * endpoint_count as f64 / f64::from(self.settings.gateway_count);
+        let min_per_second = MIN_FORWARDED_PER_SECOND * endpoint_count as f64
+            / f64::from(self.settings.gateway_count);
         let last_forwarded_at_ms = &mut self.last_forwarded_at_ms[tier.0];
         if rejected && now_ms - *last_forwarded_at_ms < 1000.0 / min_per_second {
             return true;
