--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -2,14 +2,14 @@
 //! endpoint.
 
 use super::Decisions;
-use super::endpoint_selection::{Selection, choose_endpoint};
+use super::load_shedding::{RequestOutcome, SheddingDecision};
 use super::quota_client::{passes_unconfirmed, plan_lease};
 use super::quota_exchange::TIMER_TOLERANCE_MS;
-use super::retries::RETRIES_PER_REQUEST;
 use crate::events::{EndpointName, Request};
 use crate::gossip::{GossipMessage, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey};
 use crate::records::{AccountId, Authorization, ClientTerms, LeasePlan};
-use crate::records::{PendingRequest, RetryScope, WaitingFor};
+use crate::records::{PendingRequest, WaitingFor};
+use crate::units::Timestamp;
 use rand::Rng;
 
 /// A request may wait for a permit for this part of its latency objective.
@@ -22,7 +22,7 @@
         let Some(tier) = self.load_shedder.tier_of(request.class, request.plan) else {
             return self.reject(&request);
         };
-        self.retry_budget.earn(RETRIES_PER_REQUEST);
+        self.retry_policy.request_arrived();
         let (number, gateways) = (self.requests.next_id(), self.settings.gateway_count);
         let mut pending = PendingRequest::new(request, gateways, tier, number, self.now_ms);
         pending.waits_until_ms = self.wait_limit_ms(&pending);
@@ -49,7 +49,7 @@
         let terms = ClientTerms::new(
             &settings,
             pending,
-            self.endpoints.mean_latency_ms(),
+            self.load_balancer.mean_latency().as_f64(),
             self.now_ms,
         );
         plan_lease(
@@ -252,7 +252,8 @@
             .get(&key)
             .and_then(|tenant| tenant.client.permits.limit())
             .unwrap_or(1);
-        let wait_ms = self.endpoints.mean_latency_ms() * place as f64 / f64::from(permits);
+        let wait_ms =
+            self.load_balancer.mean_latency().as_f64() * place as f64 / f64::from(permits);
         if self.now_ms + wait_ms <= pending.waits_until_ms {
             return self.park(pending);
         }
@@ -267,35 +268,29 @@
     }
 
     fn first_endpoint(&mut self, pending: &PendingRequest) -> Option<EndpointName> {
-        let endpoints = self.endpoints.endpoint_count();
-        if self
+        let (now, endpoint_count) = (Timestamp(self.now_ms), self.load_balancer.endpoint_count());
+        let decision = self
             .load_shedder
-            .sheds(pending.tier, self.now_ms, endpoints, &mut self.rng)
-        {
-            return None;
+            .decide(pending.tier, endpoint_count, now, &mut self.rng);
+        match decision {
+            SheddingDecision::Shed => None,
+            SheddingDecision::Forward => self.load_balancer.choose_for_first_attempt(
+                pending.request.class,
+                now,
+                &mut self.rng,
+            ),
         }
-        let class = pending.request.class;
-        let max_latency_ms = self.endpoints.acceptable_latency_ms(class);
-        let selection = Selection {
-            class,
-            max_latency_ms,
-            scope: RetryScope::Anywhere,
-            avoid: None,
-        };
-        choose_endpoint(
-            &self.endpoints,
-            &self.settings,
-            &selection,
-            self.now_ms,
-            &mut self.rng,
-        )
     }
 
     /// Rejects a request that was shed, or for which no endpoint has capacity.
     fn turn_down(&mut self, pending: &PendingRequest, over_hard_limit: bool) {
         // A client's retry that is rejected here was counted with the first request.
         if !pending.request.is_retry && !over_hard_limit {
-            self.load_shedder.record(pending.tier, false, self.now_ms);
+            self.load_shedder.record(
+                pending.tier,
+                RequestOutcome::Unserved,
+                Timestamp(self.now_ms),
+            );
         }
         if pending.authorization.permit().is_some() || pending.waits_for_permit() {
             self.return_lease(pending);
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -1,10 +1,12 @@
 //! Attempts of a forwarded request, from the first to the end of the request.
 
 use super::Decisions;
-use super::endpoint_selection::{Selection, choose_endpoint};
-use super::retries::{client_may_repeat, is_retryable, may_have_executed, retry_scope};
+use super::load_balancing::RetryAttempt;
+use super::load_shedding::RequestOutcome;
+use super::retries::{FailedAttempt, may_have_executed};
 use crate::events::{AttemptOutcome, AttemptResult, EndpointName, RequestId};
 use crate::records::{Authorization, InFlightRequest, PendingRequest};
+use crate::units::{Milliseconds, Timestamp};
 
 impl Decisions {
     /// Begins an attempt of a request in flight.
@@ -24,8 +26,12 @@
             objective_at_ms
         };
         let deadline_ms = admitted.request.client_deadline_ms.min(useful_until_ms);
-        self.endpoints
-            .attempt_started(id, admitted.request.class, endpoint, self.now_ms);
+        self.load_balancer.attempt_started(
+            id,
+            admitted.request.class,
+            endpoint,
+            Timestamp(self.now_ms),
+        );
         self.actions.forward(id, endpoint.clone(), deadline_ms);
     }
 
@@ -39,7 +45,8 @@
         request.client_disconnected = true;
         let tier = request.admitted.tier;
         if !self.is_in_time(id) {
-            self.load_shedder.record(tier, false, self.now_ms);
+            self.load_shedder
+                .record(tier, RequestOutcome::Unserved, Timestamp(self.now_ms));
         }
     }
 
@@ -67,25 +74,35 @@
         } else if outcome.request_ended {
             self.finish(id);
             let accepted = outcome.result == AttemptResult::Success && in_time;
-            self.load_shedder.record(tier, accepted, self.now_ms);
+            self.load_shedder.record(
+                tier,
+                RequestOutcome::accepted_if(accepted),
+                Timestamp(self.now_ms),
+            );
         } else if let Some(endpoint) = self.retry_endpoint(outcome) {
-            self.retry_budget.spend(1.0);
+            self.retry_policy.retry_started();
             self.forward(id, &endpoint);
         } else if let Some(request) = self.finish(id) {
             // An error is an answer: the endpoint had capacity for the request.
             let accepted = outcome.result == AttemptResult::Error && in_time;
-            self.load_shedder.record(tier, accepted, self.now_ms);
+            self.load_shedder.record(
+                tier,
+                RequestOutcome::accepted_if(accepted),
+                Timestamp(self.now_ms),
+            );
             self.answer_failed_request(&request);
         }
     }
 
     /// Takes in what an attempt tells of its endpoint, and whether the request may have been executed there.
     fn learn_from(&mut self, outcome: &AttemptOutcome) {
-        let location = self.endpoints.attempt_finished(outcome, self.now_ms);
+        let execution = self
+            .load_balancer
+            .attempt_finished(outcome, Timestamp(self.now_ms));
         let Some(request) = self.requests.in_flight_mut(outcome.request) else {
             return;
         };
-        if let Some(execution) = location.filter(|_| may_have_executed(outcome.result)) {
+        if let Some(execution) = execution.filter(|_| may_have_executed(outcome.result)) {
             request.first_execution.get_or_insert(execution);
         }
     }
@@ -106,33 +123,31 @@
         let request = self.requests.in_flight(outcome.request)?;
         let admitted = &request.admitted;
         let class = &self.settings.classes[admitted.request.class];
-        let scope = retry_scope(class, request.first_execution, self.now_ms)?;
-        let max_attempts = self.settings.max_attempts;
-        let exhausted = max_attempts > 0 && request.attempts >= max_attempts;
-        if exhausted || self.retry_budget.saved() < 1.0 || !is_retryable(outcome.result) {
-            return None;
-        }
+        let failed = FailedAttempt {
+            class: admitted.request.class,
+            attempts: request.attempts,
+            result: outcome.result,
+            first_execution: request.first_execution,
+        };
+        let now = Timestamp(self.now_ms);
+        let scope = self.retry_policy.retry_scope(&failed, now)?;
         let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
-        let selection = Selection {
+        let useful_until_ms = objective_at_ms.min(admitted.request.client_deadline_ms);
+        let retry = RetryAttempt {
             class: admitted.request.class,
-            max_latency_ms: objective_at_ms.min(admitted.request.client_deadline_ms) - self.now_ms,
+            remaining: Milliseconds(useful_until_ms - self.now_ms),
             scope,
-            avoid: Some(&outcome.endpoint),
+            previous_endpoint: &outcome.endpoint,
         };
-        choose_endpoint(
-            &self.endpoints,
-            &self.settings,
-            &selection,
-            self.now_ms,
-            &mut self.rng,
-        )
+        self.load_balancer
+            .choose_for_retry(&retry, now, &mut self.rng)
     }
 
     /// The final answer to a request whose attempts have failed.
     fn answer_failed_request(&mut self, request: &InFlightRequest) {
         let admitted = &request.admitted.request;
-        let class = &self.settings.classes[admitted.class];
-        if request.first_execution.is_none() || client_may_repeat(class) {
+        if request.first_execution.is_none() || self.retry_policy.client_may_repeat(admitted.class)
+        {
             self.reject(admitted);
         } else {
             self.actions.fail(admitted.id);
--- /dev/null
+++ b/src/decisions/load_balancing/endpoint_table.rs
@@ -0,0 +1,90 @@
+//! The endpoints that a gateway knows, as the endpoint lists give them.
+
+use super::endpoint::EndpointRecord;
+use crate::events::{Endpoint, EndpointListKind, EndpointName, EndpointState};
+use crate::units::Timestamp;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The least weight of an endpoint, relative to the weights of others. One that is registered with weight 0 still gets
+/// a few requests.
+const MIN_WEIGHT: f64 = 1e-3;
+/// The weight of an endpoint that is registered with an infinite one or with no number.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// An endpoint as a candidate for an attempt.
+pub(super) type Candidate<'a> = (&'a EndpointName, &'a EndpointRecord);
+
+/// The endpoints on the list, and removed ones that still have attempts in flight.
+#[derive(Default)]
+pub(super) struct EndpointTable {
+    endpoints: BTreeMap<EndpointName, EndpointRecord>,
+}
+
+impl EndpointTable {
+    pub(super) fn len(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    /// The endpoints that are ready, in the order of their names.
+    pub(super) fn ready(&self) -> impl Iterator<Item = Candidate<'_>> {
+        self.endpoints
+            .iter()
+            .filter(|(_, endpoint)| endpoint.state == EndpointState::Ready)
+    }
+
+    pub(super) fn get_mut(&mut self, name: &EndpointName) -> Option<&mut EndpointRecord> {
+        self.endpoints.get_mut(name)
+    }
+
+    /// Applies an endpoint list.
+    pub(super) fn apply_list(
+        &mut self,
+        kind: EndpointListKind,
+        list: Vec<Endpoint>,
+        now: Timestamp,
+    ) {
+        if kind == EndpointListKind::Snapshot {
+            self.remove_unlisted(&list);
+        }
+        for listed in list {
+            self.apply_entry(listed, now);
+        }
+        self.endpoints
+            .retain(|_, endpoint| endpoint.state != EndpointState::Removed || !endpoint.is_idle());
+    }
+
+    fn remove_unlisted(&mut self, list: &[Endpoint]) {
+        let listed: BTreeSet<&EndpointName> = list.iter().map(|endpoint| &endpoint.name).collect();
+        for (name, endpoint) in &mut self.endpoints {
+            if !listed.contains(name) {
+                endpoint.state = EndpointState::Removed;
+            }
+        }
+    }
+
+    fn apply_entry(&mut self, listed: Endpoint, now: Timestamp) {
+        let started_at = Timestamp(listed.started_at_ms);
+        let entry = self.endpoints.entry(listed.name);
+        let endpoint =
+            entry.or_insert_with(|| EndpointRecord::new(listed.hardware, started_at, now));
+        if started_at > endpoint.started_at {
+            endpoint.forget_incarnation();
+        }
+        endpoint.started_at = started_at;
+        endpoint.state = listed.state;
+        endpoint.weight = valid_weight(listed.weight);
+        // The last location of a removed endpoint still says where its attempts may have been executed.
+        if listed.state != EndpointState::Removed {
+            endpoint.zone = listed.zone;
+            endpoint.cell = listed.cell;
+        }
+    }
+}
+
+fn valid_weight(registered: f64) -> f64 {
+    if registered.is_finite() {
+        registered.max(MIN_WEIGHT)
+    } else {
+        DEFAULT_WEIGHT
+    }
+}
--- /dev/null
+++ b/src/decisions/load_balancing/learning.rs
@@ -0,0 +1,204 @@
+//! How the outcome of an attempt updates the estimates of its endpoint and of the fleet.
+
+use super::context::ModelContext;
+use super::endpoint::{EndpointRecord, InFlightAttempt};
+use super::estimates::{Estimator, service_time_step, slowdown};
+use super::fleet::FleetEstimates;
+use crate::events::{AttemptOutcome, AttemptResult};
+use crate::statistics::{TimestampedSample, arithmetic_step};
+use crate::units::{Milliseconds, Timestamp};
+
+/// The smoothing factor of one answer for the service time and the failure rate of its endpoint.
+const SMOOTHING: f64 = 0.04;
+/// The same for an endpoint that seems to have no capacity, and the most for answers that are rare. An endpoint
+/// without capacity is seldom chosen, and one of hundreds of gateways has few answers from each.
+const RARE_SMOOTHING: f64 = 0.3;
+/// Answers of an endpoint are rare if about this time or more passes between them.
+const RARE_ANSWER_INTERVAL: Milliseconds = Milliseconds(3000.0);
+/// The least smoothing factor of one answer for the estimates of the whole fleet, which has many more answers.
+const FLEET_SMOOTHING: f64 = 0.02;
+/// The smoothing factor of one load report for the mean over all endpoints.
+const REPORT_SMOOTHING: f64 = 0.1;
+/// What a failure counts in the failure rate of its endpoint.
+const FAILURE_VALUE: f64 = 2.0;
+/// Shorter latencies count as this long: a ratio of service times needs one that is not zero.
+const MIN_LATENCY: Milliseconds = Milliseconds(0.1);
+/// The initial guess at the mean latency counts as this many answers.
+const INITIAL_LATENCY_ANSWERS: f64 = 4.0;
+
+/// The estimates of an endpoint just before the outcome of an attempt there updates them.
+pub(super) struct PreviousEstimate {
+    service_time: Milliseconds,
+    is_warm: bool,
+    failure_smoothing: f64,
+    latency_smoothing: f64,
+}
+
+impl Estimator<'_> {
+    /// The estimates of an endpoint as of now, for an update.
+    pub(super) fn previous_estimate(&self, endpoint: &EndpointRecord) -> PreviousEstimate {
+        PreviousEstimate {
+            service_time: self.service_time(endpoint),
+            is_warm: self.warmup_fraction(endpoint) >= 1.0,
+            failure_smoothing: self.smoothing(endpoint.failure_rate_updated_at()),
+            latency_smoothing: self.smoothing(endpoint.service_time_updated_at),
+        }
+    }
+
+    /// The smoothing factor of an answer, given when the last one came; [`Timestamp::ZERO`] for never.
+    fn smoothing(&self, last_answer_at: Timestamp) -> f64 {
+        let rarity = if last_answer_at > Timestamp::ZERO {
+            let relative_age = (self.now - last_answer_at).ratio_to(RARE_ANSWER_INTERVAL);
+            1.0 - (-relative_age.powi(2)).exp()
+        } else {
+            self.context.fleet_scale
+        };
+        SMOOTHING.max(RARE_SMOOTHING * rarity)
+    }
+}
+
+/// One service time that was observed.
+struct ServiceTimeSample {
+    /// As observed, for the class of the attempt.
+    observed: Milliseconds,
+    /// The index of the class.
+    class: usize,
+    /// How many times the fleet's average service time the class takes.
+    class_factor: f64,
+}
+
+impl ServiceTimeSample {
+    /// The service time that a request of an average class would have had.
+    fn of_average_class(&self) -> Milliseconds {
+        self.observed / self.class_factor
+    }
+}
+
+/// The update of the estimates by one outcome.
+pub(super) struct EstimateUpdate<'a> {
+    pub context: &'a ModelContext,
+    pub endpoint: &'a mut EndpointRecord,
+    pub fleet: &'a mut FleetEstimates,
+    pub previous: PreviousEstimate,
+    pub now: Timestamp,
+}
+
+impl EstimateUpdate<'_> {
+    /// Updates all estimates that an outcome says something about.
+    pub(super) fn apply(&mut self, outcome: &AttemptOutcome, attempt: &InFlightAttempt) {
+        if let Some(in_flight) = outcome.load_report.and_then(|report| report.in_flight) {
+            self.update_reported_load(in_flight);
+        }
+        self.update_failure_rates(is_failure(outcome.result));
+        if is_latency_sample(outcome.result) {
+            let latency = Milliseconds(outcome.latency_ms);
+            self.update_mean_latency(latency);
+            let service_time = latency.max(MIN_LATENCY) / slowdown(attempt.load_at_start);
+            self.update_service_times(service_time, attempt.class);
+        }
+    }
+
+    fn update_reported_load(&mut self, reported_in_flight: f64) {
+        let others = (reported_in_flight - self.endpoint.in_flight_count()).max(0.0);
+        self.endpoint.reported_others = Some(TimestampedSample::new(others, self.now));
+        let fleet_mean = self.fleet.reported_others.map_or(others, |mean| mean.value);
+        let fleet_mean = arithmetic_step(fleet_mean, others, REPORT_SMOOTHING);
+        self.fleet.reported_others = Some(TimestampedSample::new(fleet_mean, self.now));
+    }
+
+    fn update_failure_rates(&mut self, failed: bool) {
+        let failure = f64::from(u8::from(failed));
+        let weight = self.previous.failure_smoothing;
+        let remaining = self.endpoint.failure_rate(self.now) * (1.0 - weight);
+        let failure_rate = remaining + weight * FAILURE_VALUE * failure;
+        self.endpoint.set_failure_rate(failure_rate, self.now);
+        let fleet_rate = self.fleet.failure_rate;
+        self.fleet.failure_rate = arithmetic_step(fleet_rate, failure, FLEET_SMOOTHING);
+    }
+
+    fn update_mean_latency(&mut self, latency: Milliseconds) {
+        self.fleet.answers += 1.0;
+        let answers = self.fleet.answers + INITIAL_LATENCY_ANSWERS;
+        let weight = SMOOTHING.max(1.0 / answers);
+        let mean = self.fleet.mean_latency.as_f64();
+        let mean = arithmetic_step(mean, latency.as_f64(), weight);
+        self.fleet.mean_latency = Milliseconds(mean);
+    }
+
+    fn update_service_times(&mut self, observed: Milliseconds, class: usize) {
+        let fleet_weight = FLEET_SMOOTHING.max(1.0 / self.fleet.answers);
+        let fleet_mean = self.fleet.service_time.unwrap_or(observed);
+        let class_factor = self.update_class(observed, class, fleet_mean, fleet_weight);
+        let sample = ServiceTimeSample {
+            observed,
+            class,
+            class_factor,
+        };
+        self.update_endpoint(&sample);
+        if self.previous.is_warm {
+            self.update_hardware(&sample, fleet_mean, fleet_weight);
+        }
+        self.fleet.service_time = Some(service_time_step(fleet_mean, observed, fleet_weight));
+    }
+
+    /// Updates the service time of a class. Returns how many times the fleet's average it was before.
+    fn update_class(
+        &mut self,
+        observed: Milliseconds,
+        class: usize,
+        fleet_mean: Milliseconds,
+        weight: f64,
+    ) -> f64 {
+        let class_mean = &mut self.fleet.class_service_time[class];
+        if *class_mean <= Milliseconds::ZERO {
+            *class_mean = observed;
+            return 1.0;
+        }
+        let class_factor = class_mean.ratio_to(fleet_mean);
+        *class_mean = service_time_step(*class_mean, observed, weight);
+        class_factor
+    }
+
+    fn update_endpoint(&mut self, sample: &ServiceTimeSample) {
+        let previous = if self.previous.service_time > Milliseconds::ZERO {
+            self.previous.service_time
+        } else {
+            sample.observed
+        };
+        let acceptable = self.context.acceptable_latency(sample.class);
+        let weight = if previous * sample.class_factor > acceptable {
+            RARE_SMOOTHING
+        } else {
+            self.previous.latency_smoothing
+        };
+        let service_time = service_time_step(previous, sample.of_average_class(), weight);
+        self.endpoint.service_time = Some(service_time);
+        self.endpoint.service_time_updated_at = self.now;
+    }
+
+    fn update_hardware(
+        &mut self,
+        sample: &ServiceTimeSample,
+        fleet_mean: Milliseconds,
+        weight: f64,
+    ) {
+        let by_hardware = &mut self.fleet.hardware_service_time;
+        let mean = by_hardware
+            .entry(self.endpoint.hardware)
+            .or_insert(fleet_mean);
+        *mean = service_time_step(*mean, sample.of_average_class(), weight);
+    }
+}
+
+fn is_failure(result: AttemptResult) -> bool {
+    !matches!(
+        result,
+        AttemptResult::Success | AttemptResult::Cancelled | AttemptResult::NeverSent
+    )
+}
+
+/// Whether the latency of an attempt says something about the endpoint's latency. After a time-out that is at least as
+/// long as the attempt was in flight.
+fn is_latency_sample(result: AttemptResult) -> bool {
+    matches!(result, AttemptResult::Success | AttemptResult::TimedOut)
+}
--- /dev/null
+++ b/src/decisions/load_balancing/mod.rs
@@ -0,0 +1,183 @@
+//! Load balancing: which endpoint an attempt goes to.
+//!
+//! [`LoadBalancer`] owns all that this gateway knows of the endpoints. It estimates the latency to expect from each
+//! endpoint from the outcomes of attempts (`learning.rs`, `estimates.rs`), and compares a few candidates in a weighted
+//! random order, those of the gateway's own subset first (`selection.rs`, `subset.rs`). Endpoints that are warming up
+//! are chosen less often (`slow_start.rs`).
+
+mod context;
+mod endpoint;
+mod endpoint_table;
+mod estimates;
+mod fleet;
+mod learning;
+mod selection;
+mod slow_start;
+mod subset;
+
+use super::retries::{PossibleExecution, RetryScope};
+use crate::events::{AttemptOutcome, Endpoint, EndpointListKind, EndpointName, RequestId};
+use crate::settings::Settings;
+use crate::units::{Milliseconds, Timestamp};
+use context::ModelContext;
+use endpoint_table::EndpointTable;
+use estimates::Estimator;
+use fleet::FleetEstimates;
+use learning::EstimateUpdate;
+use rand::Rng;
+use selection::{Attempt, AttemptKind, choose_endpoint};
+use std::sync::Arc;
+
+/// Inputs to the choice of an endpoint for a retry.
+#[derive(Debug)]
+pub(crate) struct RetryAttempt<'a> {
+    /// The index of the request's class.
+    pub class: usize,
+    /// The time that is left for an answer. An endpoint that is expected to take longer is not chosen.
+    pub remaining: Milliseconds,
+    /// The endpoints on which the request may be attempted again.
+    pub scope: RetryScope,
+    /// The endpoint of the attempt that failed, which is not chosen again.
+    pub previous_endpoint: &'a EndpointName,
+}
+
+/// Chooses endpoints for attempts, and learns from the outcomes of the attempts.
+pub(crate) struct LoadBalancer {
+    context: ModelContext,
+    endpoints: EndpointTable,
+    fleet: FleetEstimates,
+}
+
+impl LoadBalancer {
+    /// A load balancer that knows no endpoint yet.
+    pub(crate) fn new(settings: Arc<Settings>) -> LoadBalancer {
+        LoadBalancer {
+            fleet: FleetEstimates::new(&settings),
+            endpoints: EndpointTable::default(),
+            context: ModelContext::new(settings),
+        }
+    }
+
+    /// Applies an endpoint list.
+    pub(crate) fn apply_list(
+        &mut self,
+        kind: EndpointListKind,
+        list: Vec<Endpoint>,
+        now: Timestamp,
+    ) {
+        self.endpoints.apply_list(kind, list, now);
+    }
+
+    /// The number of endpoints on the list, and of removed ones that still have attempts in flight.
+    pub(crate) fn endpoint_count(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    /// The mean latency of answers over all endpoints and classes.
+    pub(crate) fn mean_latency(&self) -> Milliseconds {
+        self.fleet.mean_latency
+    }
+
+    /// Chooses an endpoint for the first attempt of a request of this class. Returns `None` if no endpoint has
+    /// capacity for it.
+    pub(crate) fn choose_for_first_attempt(
+        &self,
+        class: usize,
+        now: Timestamp,
+        rng: &mut impl Rng,
+    ) -> Option<EndpointName> {
+        let attempt = Attempt {
+            class,
+            max_latency: self.context.acceptable_latency(class),
+            kind: AttemptKind::First,
+        };
+        choose_endpoint(&self.endpoints, &attempt, &self.estimator(now), rng)
+    }
+
+    /// Chooses an endpoint for a retry. Returns `None` if no endpoint in the scope has capacity for it.
+    pub(crate) fn choose_for_retry(
+        &self,
+        retry: &RetryAttempt,
+        now: Timestamp,
+        rng: &mut impl Rng,
+    ) -> Option<EndpointName> {
+        let attempt = Attempt {
+            class: retry.class,
+            max_latency: retry.remaining,
+            kind: AttemptKind::Retry {
+                scope: retry.scope,
+                previous_endpoint: retry.previous_endpoint,
+            },
+        };
+        choose_endpoint(&self.endpoints, &attempt, &self.estimator(now), rng)
+    }
+
+    /// Counts an attempt as in flight.
+    pub(crate) fn attempt_started(
+        &mut self,
+        request: RequestId,
+        class: usize,
+        endpoint: &EndpointName,
+        now: Timestamp,
+    ) {
+        let endpoint_count = self.endpoints.len();
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
+            return;
+        };
+        let estimator = Estimator {
+            context: &self.context,
+            fleet: &self.fleet,
+            endpoint_count,
+            now,
+        };
+        let load_at_start = estimator.load(endpoint);
+        self.fleet.attempt_started(now);
+        endpoint.attempt_started(request, class, load_at_start, now);
+    }
+
+    /// Takes an attempt out of those in flight and updates the estimates by its outcome. An attempt that is not in
+    /// flight updates nothing.
+    ///
+    /// Returns where and when the attempt may have been executed.
+    pub(crate) fn attempt_finished(
+        &mut self,
+        outcome: &AttemptOutcome,
+        now: Timestamp,
+    ) -> Option<PossibleExecution> {
+        self.fleet.advance_mean_in_flight(now);
+        let endpoint_count = self.endpoints.len();
+        let endpoint = self.endpoints.get_mut(&outcome.endpoint)?;
+        let estimator = Estimator {
+            context: &self.context,
+            fleet: &self.fleet,
+            endpoint_count,
+            now,
+        };
+        let previous = estimator.previous_estimate(endpoint);
+        let attempt = endpoint.attempt_finished(outcome.request, now)?;
+        self.fleet.attempt_finished();
+        let execution = PossibleExecution {
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            sent_at: attempt.sent_at,
+        };
+        let mut update = EstimateUpdate {
+            context: &self.context,
+            endpoint,
+            fleet: &mut self.fleet,
+            previous,
+            now,
+        };
+        update.apply(outcome, &attempt);
+        Some(execution)
+    }
+
+    fn estimator(&self, now: Timestamp) -> Estimator<'_> {
+        Estimator {
+            context: &self.context,
+            fleet: &self.fleet,
+            endpoint_count: self.endpoints.len(),
+            now,
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/load_balancing/selection.rs
@@ -0,0 +1,156 @@
+//! The choice of an endpoint among candidates in a weighted random order.
+
+use super::context::MAX_SIMILAR_PEERS;
+use super::endpoint::EndpointRecord;
+use super::endpoint_table::{Candidate, EndpointTable};
+use super::estimates::Estimator;
+use super::slow_start::SlowStartLimiter;
+use super::subset::preferred_arc;
+use crate::decisions::retries::RetryScope;
+use crate::events::EndpointName;
+use crate::units::Milliseconds;
+use rand::Rng;
+
+/// At least this many endpoints with capacity are compared, and more where each gateway knows more. With few
+/// gateways each knows every endpoint and compares all; with many, all would choose the same few.
+const MIN_COMPARED: f64 = 2.0;
+/// The exploration interval: each gateway leaves an endpoint without capacity alone for this long before one
+/// attempt tries it again.
+const EXPLORATION_INTERVAL: Milliseconds = Milliseconds(250.0);
+/// An endpoint in another zone counts as this many times slower.
+const OTHER_ZONE_FACTOR: f64 = 1.05;
+/// Costs are increased at random by up to this fraction, so that gateways don't all choose the same endpoint.
+const JITTER: f64 = 0.1;
+
+/// An attempt that needs an endpoint.
+pub(super) struct Attempt<'a> {
+    pub class: usize,
+    /// An endpoint that is expected to take longer has no capacity for the attempt.
+    pub max_latency: Milliseconds,
+    pub kind: AttemptKind<'a>,
+}
+
+/// Whether an attempt is the first of its request.
+pub(super) enum AttemptKind<'a> {
+    First,
+    Retry {
+        scope: RetryScope,
+        previous_endpoint: &'a EndpointName,
+    },
+}
+
+impl Attempt<'_> {
+    fn is_first(&self) -> bool {
+        matches!(self.kind, AttemptKind::First)
+    }
+
+    /// Whether the attempt may go to an endpoint, whatever its load.
+    fn permits(&self, candidate: &Candidate) -> bool {
+        let (name, endpoint) = *candidate;
+        match &self.kind {
+            AttemptKind::First => true,
+            AttemptKind::Retry {
+                scope,
+                previous_endpoint,
+            } => scope.includes(endpoint.zone, endpoint.cell) && *previous_endpoint != name,
+        }
+    }
+}
+
+/// Chooses an endpoint for an attempt, if there is one with capacity for it.
+pub(super) fn choose_endpoint(
+    endpoints: &EndpointTable,
+    attempt: &Attempt,
+    estimator: &Estimator,
+    rng: &mut impl Rng,
+) -> Option<EndpointName> {
+    let ready: Vec<(Candidate, f64)> = endpoints
+        .ready()
+        .map(|candidate| (candidate, candidate.1.weight))
+        .collect();
+    let arc = preferred_arc(&estimator.context.settings, ready.len() as f64);
+    let mut candidates = arc.weighted_random_order(&ready, rng);
+    candidates.retain(|candidate| attempt.permits(candidate));
+    lowest_cost(candidates, attempt, estimator, rng).cloned()
+}
+
+/// Chooses the candidate of the lowest cost among the first ones that have capacity.
+fn lowest_cost<'a>(
+    candidates: Vec<Candidate<'a>>,
+    attempt: &Attempt,
+    estimator: &Estimator,
+    rng: &mut impl Rng,
+) -> Option<&'a EndpointName> {
+    let to_compare = candidates_to_compare(candidates.len(), estimator);
+    let mut slow_start = slow_start_limiter(attempt, estimator, to_compare);
+    let mut compared = 0.0;
+    let mut best: Option<(Milliseconds, &EndpointName)> = None;
+    for (name, endpoint) in candidates {
+        if !slow_start.permits(estimator.warmup_fraction(endpoint), rng) {
+            continue;
+        }
+        let latency = estimator.latency(endpoint, attempt.class);
+        let lacks_capacity = latency > attempt.max_latency;
+        if lacks_capacity && !may_explore(endpoint, attempt, estimator) {
+            continue;
+        }
+        let jitter = 1.0 + JITTER * rng.random::<f64>();
+        let cost = cost(endpoint, latency, attempt.class, estimator) * jitter;
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
+            best = Some((cost, name));
+        }
+        compared += 1.0;
+        if compared >= to_compare {
+            break;
+        }
+    }
+    best.map(|(_, name)| name)
+}
+
+fn candidates_to_compare(candidate_count: usize, estimator: &Estimator) -> f64 {
+    let count = candidate_count as f64;
+    let gateway_count = f64::from(estimator.context.settings.gateway_count);
+    let known = MAX_SIMILAR_PEERS * count / gateway_count;
+    known.max(MIN_COMPARED).min(count)
+}
+
+/// The number of chances follows from the overload that warming endpoints tolerate. A retry has one for each endpoint
+/// compared: a request that one warming endpoint rejected must not be tried at all of them in turn.
+fn slow_start_limiter(
+    attempt: &Attempt,
+    estimator: &Estimator,
+    to_compare: f64,
+) -> SlowStartLimiter {
+    let overload_multiple = estimator.context.settings.warmup_overload_multiple;
+    let chances = if attempt.is_first() {
+        overload_multiple.max(1.0)
+    } else {
+        1.0
+    };
+    SlowStartLimiter::new(to_compare, chances)
+}
+
+/// Whether the attempt may test an endpoint that seems to have no capacity, since this gateway has sent nothing there
+/// lately and would otherwise learn nothing more of it. All gateways do so, so the interval grows with their number.
+fn may_explore(endpoint: &EndpointRecord, attempt: &Attempt, estimator: &Estimator) -> bool {
+    let gateway_count = f64::from(estimator.context.settings.gateway_count);
+    let unused_for = estimator.now - endpoint.last_attempt_at;
+    let is_due = unused_for > EXPLORATION_INTERVAL * gateway_count;
+    attempt.is_first() && endpoint.is_idle() && is_due
+}
+
+/// The expected latency, and for excess failures a fraction of the latency objective.
+fn cost(
+    endpoint: &EndpointRecord,
+    latency: Milliseconds,
+    class: usize,
+    estimator: &Estimator,
+) -> Milliseconds {
+    let zone_factor = if endpoint.zone == estimator.context.settings.zone {
+        1.0
+    } else {
+        OTHER_ZONE_FACTOR
+    };
+    let objective = estimator.context.latency_objective(class);
+    latency * zone_factor + objective * estimator.excess_failure_rate(endpoint)
+}
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -10,26 +10,25 @@
 
 mod admission;
 mod attempts;
-mod endpoint_estimation;
-mod endpoint_selection;
-mod load_shedding;
+mod fleet_scale;
+mod load_balancing;
+pub(crate) mod load_shedding;
 mod quota_client;
 mod quota_exchange;
 mod quota_owner;
-mod retries;
-mod subset;
+pub(crate) mod retries;
 
-use crate::endpoint_model::EndpointModel;
 use crate::events::{Action, Endpoint, EndpointListKind};
 use crate::gossip::QuotaRequestId;
 use crate::records::{ActionSink, OutboxLimits, RequestTable, Tenant, Tenants, UnconfirmedUsage};
 use crate::settings::Settings;
-use crate::statistics::SavingsBudget;
-use endpoint_estimation::estimation_parameters;
+use crate::units::Timestamp;
+use fleet_scale::fleet_scale;
+use load_balancing::LoadBalancer;
 use load_shedding::LoadShedder;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use retries::MAX_SAVED_RETRIES;
+use retries::RetryPolicy;
 use std::sync::Arc;
 
 /// Demand is remembered for about this long: long enough to count slow tenants, short enough to follow those
@@ -38,8 +37,6 @@
 /// The part of a hard limit that gateways may use without asking, in even allotments; the owner leases the
 /// rest.
 const FALLBACK_FRACTION: f64 = 0.25;
-/// From so many gateways on a fleet counts as large: each then knows little of the whole.
-const LARGE_FLEET: u32 = 16;
 /// The part of a peer's intake that the datagrams of one of few gateways may fill, a tenth of a second's at
 /// one stroke. One of many gateways may send so many times as much, as its datagrams go to as many peers.
 const INTAKE_FRACTION: f64 = 0.75;
@@ -61,16 +58,11 @@
     requests: RequestTable,
     unconfirmed_usage: UnconfirmedUsage,
     load_shedder: LoadShedder,
-    endpoints: EndpointModel,
-    retry_budget: SavingsBudget,
+    load_balancer: LoadBalancer,
+    retry_policy: RetryPolicy,
     actions: ActionSink,
 }
 
-/// How near the fleet is to a large one, from 0 to 1.
-fn fleet_scale(settings: &Settings) -> f64 {
-    (f64::from(settings.gateway_count - 1) / f64::from(LARGE_FLEET)).min(1.0)
-}
-
 fn outbox_limits(settings: &Settings) -> OutboxLimits {
     let multiple = 1.0 + (LARGE_FLEET_INTAKE_MULTIPLE - 1.0) * fleet_scale(settings);
     let datagrams_per_second =
@@ -96,8 +88,8 @@
             requests: RequestTable::numbered_from(QuotaRequestId(seed & FIRST_QUOTA_REQUEST_MASK)),
             unconfirmed_usage: UnconfirmedUsage::default(),
             load_shedder: LoadShedder::new(settings.clone()),
-            endpoints: EndpointModel::new(settings.clone(), estimation_parameters(&settings)),
-            retry_budget: SavingsBudget::full(MAX_SAVED_RETRIES),
+            load_balancer: LoadBalancer::new(settings.clone()),
+            retry_policy: RetryPolicy::new(settings.clone()),
             actions: ActionSink::new(outbox_limits(&settings)),
             settings,
         }
@@ -114,7 +106,8 @@
         kind: EndpointListKind,
         endpoints: Vec<Endpoint>,
     ) {
-        self.endpoints.apply_list(kind, endpoints, self.now_ms);
+        self.load_balancer
+            .apply_list(kind, endpoints, Timestamp(self.now_ms));
     }
 
     pub(crate) fn on_gossip_timer(&mut self) {
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -1,8 +1,9 @@
 //! What passes between a gateway as the client of a quota and the quota's owner. They may be the same
 //! gateway: then nothing is sent.
 
+use super::fleet_scale::fleet_scale;
 use super::quota_client::keep_unused;
-use super::{Decisions, fleet_scale, quota_owner};
+use super::{Decisions, quota_owner};
 use crate::events::GatewayId;
 use crate::gossip::{
     GossipMessage, OwnerState, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey,
@@ -48,7 +49,7 @@
                 * fleet_scale(&self.settings)
                 * self.settings.max_request_cost
                 * penalty,
-            mean_latency_ms: self.endpoints.mean_latency_ms(),
+            mean_latency_ms: self.load_balancer.mean_latency().as_f64(),
             gossip_enabled: self.settings.gossip_enabled,
             now_ms: self.now_ms,
             plan,
@@ -270,7 +271,8 @@
 
     /// For how long the owner takes a permit as in use without a renewal.
     fn permit_lease_ms(&self) -> f64 {
-        PERMIT_LEASE_LATENCIES * (self.endpoints.mean_latency_ms() + PERMIT_LEASE_MARGIN_MS)
+        PERMIT_LEASE_LATENCIES
+            * (self.load_balancer.mean_latency().as_f64() + PERMIT_LEASE_MARGIN_MS)
     }
 
     pub(super) fn set_renewal_timer(&mut self, permit: QuotaRequestId) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -56,7 +56,6 @@
 struct Readme;
 
 mod decisions;
-mod endpoint_model;
 mod engine;
 mod events;
 pub mod gateway;
@@ -68,6 +67,8 @@
 mod token_bucket;
 mod units;
 
+pub use decisions::load_shedding::{PriorityTier, PriorityTiers};
+pub use decisions::retries::RetryBudget;
 pub use engine::DecisionEngine;
 pub use events::*;
 pub use settings::*;
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -24,9 +24,6 @@
 use permit_pool::PermitPool;
 pub(crate) use quota::{ClientTerms, LeasePlan, LocalPermits, OwnerTerms};
 pub(crate) use request_table::RequestTable;
-pub(crate) use requests::{
-    AccountId, Authorization, InFlightRequest, PendingRequest, PossibleExecution, PriorityTier,
-    RetryScope, WaitingFor,
-};
+pub(crate) use requests::{AccountId, Authorization, InFlightRequest, PendingRequest, WaitingFor};
 pub(crate) use tenants::{Tenant, Tenants};
 pub(crate) use unconfirmed_usage::UnconfirmedUsage;
--- a/src/records/requests.rs
+++ b/src/records/requests.rs
@@ -1,8 +1,9 @@
 //! Records of the requests that the decision engine has in hand. They only store.
 
+use crate::decisions::load_shedding::PriorityTier;
+use crate::decisions::retries::PossibleExecution;
 use crate::events::{GatewayId, Request};
 use crate::gossip::{QuotaRequest, QuotaRequestId, TenantKey};
-use crate::settings::DeduplicationScope;
 
 /// The account of a tenant on a plan, and the gateway that owns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,10 +36,6 @@
     }
 }
 
-/// A tier of priority, counted from the highest, 0.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct PriorityTier(pub usize);
-
 /// A request that is not forwarded yet, or what is known of it once it is.
 pub(crate) struct PendingRequest {
     pub request: Request,
@@ -163,30 +160,3 @@
         }
     }
 }
-
-/// The endpoints on which a request may be attempted.
-#[derive(Debug, Clone, Copy)]
-pub(crate) enum RetryScope {
-    Anywhere,
-    /// Those that drop a repeat of what ran there.
-    Within(DeduplicationScope, PossibleExecution),
-}
-
-impl RetryScope {
-    /// Whether endpoints of this zone and cell are in the scope.
-    pub(crate) fn includes(&self, zone: u32, cell: u32) -> bool {
-        match self {
-            RetryScope::Within(DeduplicationScope::Zone, first) => zone == first.zone,
-            RetryScope::Within(DeduplicationScope::Cell, first) => cell == first.cell,
-            RetryScope::Within(DeduplicationScope::All, _) | RetryScope::Anywhere => true,
-        }
-    }
-}
-
-/// An attempt that an endpoint may have executed.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct PossibleExecution {
-    pub zone: u32,
-    pub cell: u32,
-    pub sent_at_ms: f64,
-}
--- a/src/statistics/mod.rs
+++ b/src/statistics/mod.rs
@@ -1,5 +1,4 @@
-//! Generic estimators: decaying values, moving averages, a sliding window, a savings budget and a
-//! weighted order.
+//! Generic estimators: decaying values, moving averages, a sliding window and a weighted random order.
 //!
 //! The types here only store and compute. They read no clock and hold no tuning constants: the
 //! caller passes the time, on a clock that only moves forward, together with the time constant or
@@ -7,18 +6,14 @@
 
 mod decay;
 mod moving_average;
-mod ratio_bands;
 mod ring;
-mod savings_budget;
 mod sliding_window;
 mod time_averaged_gauge;
 mod timestamped_sample;
 
 pub use decay::{DecayingValue, exponential_decay};
 pub use moving_average::{arithmetic_step, geometric_step};
-pub use ratio_bands::RatioBands;
 pub use ring::RingArc;
-pub use savings_budget::SavingsBudget;
 pub use sliding_window::{SlidingWindow, Tally, WindowShape};
 pub use time_averaged_gauge::TimeAveragedGauge;
 pub use timestamped_sample::TimestampedSample;
--- a/src/statistics/ring.rs
+++ b/src/statistics/ring.rs
@@ -1,4 +1,4 @@
-//! Weighted random order of items, some of them preferred by their place on a ring.
+//! Weighted random order of items, some of them preferred by their position on a ring.
 
 use rand::Rng;
 
@@ -19,30 +19,31 @@
     /// The arc of this number among arcs of this length. The starts of any range of consecutive
     /// numbers are spread evenly over the ring.
     #[must_use]
-    pub fn spread(number: u32, length: f64) -> Self {
+    pub fn evenly_spaced(number: u32, length: f64) -> Self {
         RingArc {
             start: (f64::from(number) * GOLDEN_RATIO).fract(),
             length,
         }
     }
 
-    /// The length of the part of the segment `from..to` that lies on the arc, which may pass the
-    /// end of the ring.
+    /// The length that the segment `from..to` and the arc have in common. The arc may pass the end of
+    /// the ring.
     #[must_use]
     pub fn overlap(&self, from: f64, to: f64) -> f64 {
         if self.length >= 1.0 {
             return to - from;
         }
         let end = self.start + self.length;
-        let in_round = |shift: f64| (to.min(end - shift) - from.max(self.start - shift)).max(0.0);
-        in_round(0.0) + in_round(1.0)
+        let overlap_in_turn =
+            |shift: f64| (to.min(end - shift) - from.max(self.start - shift)).max(0.0);
+        overlap_in_turn(0.0) + overlap_in_turn(1.0)
     }
 
     /// Puts items with positive weights into a weighted random order, those on the arc before all
     /// others.
     ///
-    /// The items form the ring in the given order, each as long as its weight. An item that lies
-    /// partly on the arc counts with that part of its weight. One random number is used for each
+    /// The items form the ring in the given order, each as long as its weight. The weight of an item
+    /// that overlaps the arc is the length of the overlap. One random number is used for each
     /// item, in the given order.
     pub fn weighted_random_order<T: Copy>(&self, items: &[(T, f64)], rng: &mut impl Rng) -> Vec<T> {
         let total_weight = items.iter().fold(0.0, |sum, (_, weight)| sum + weight);
