--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -16,16 +16,16 @@
         };
         request.attempts += 1;
         let admitted = &request.admitted;
-        let class = &self.settings.classes[admitted.request.class];
+        let class = self.settings.class(admitted.request.class);
         // A late answer that earns nothing is not waited for, and its absence is not taken for load.
         let late_answer_earns = class.late_answer_weight > 0.0;
-        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
+        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective.0;
         let useful_until_ms = if late_answer_earns {
             f64::INFINITY
         } else {
             objective_at_ms
         };
-        let deadline_ms = admitted.request.client_deadline_ms.min(useful_until_ms);
+        let deadline_ms = admitted.request.client_deadline.0.min(useful_until_ms);
         self.load_balancer.attempt_started(
             id,
             admitted.request.class,
@@ -55,8 +55,8 @@
         self.requests
             .in_flight(id)
             .is_some_and(|InFlightRequest { admitted, .. }| {
-                let class = &self.settings.classes[admitted.request.class];
-                admitted.age_ms(self.now_ms) <= class.latency_objective_ms
+                let class = self.settings.class(admitted.request.class);
+                admitted.age_ms(self.now_ms) <= class.latency_objective.0
             })
     }
 
@@ -114,7 +114,7 @@
         };
         let difference = outcome
             .actual_cost
-            .map_or(0.0, |actual| actual - admitted.request.cost);
+            .map_or(0.0, |actual| actual.0 - admitted.request.cost.0);
         self.settle_usage(admitted.account, difference, None);
     }
 
@@ -122,7 +122,7 @@
     fn retry_endpoint(&mut self, outcome: &AttemptOutcome) -> Option<EndpointName> {
         let request = self.requests.in_flight(outcome.request)?;
         let admitted = &request.admitted;
-        let class = &self.settings.classes[admitted.request.class];
+        let class = self.settings.class(admitted.request.class);
         let failed = FailedAttempt {
             class: admitted.request.class,
             attempts: request.attempts,
@@ -131,8 +131,8 @@
         };
         let now = Timestamp(self.now_ms);
         let scope = self.retry_policy.retry_scope(&failed, now)?;
-        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
-        let useful_until_ms = objective_at_ms.min(admitted.request.client_deadline_ms);
+        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective.0;
+        let useful_until_ms = objective_at_ms.min(admitted.request.client_deadline.0);
         let retry = RetryAttempt {
             class: admitted.request.class,
             remaining: Milliseconds(useful_until_ms - self.now_ms),
@@ -170,7 +170,7 @@
                 self.admit(next);
             }
         } else if authorization.permit().is_some()
-            && self.settings.plans[account.plan].max_concurrency > 0
+            && self.settings.plan(account.plan).max_concurrency > 0
         {
             self.hand_on_permit(&request.admitted);
         }
@@ -184,7 +184,7 @@
         let Some(next) = self.requests.take_next(finished.account.tenant) else {
             return self.settle_usage(finished.account, 0.0, permit);
         };
-        self.settle_usage(next.account, next.request.cost, None);
+        self.settle_usage(next.account, next.request.cost.0, None);
         let authorization =
             permit.map_or(Authorization::Unconfirmed, Authorization::InheritedPermit);
         self.admit(PendingRequest {
--- a/src/decisions/load_balancing/context.rs
+++ b/src/decisions/load_balancing/context.rs
@@ -1,6 +1,7 @@
 //! What the estimates and the choice of an endpoint take from the settings, computed once.
 
 use crate::decisions::fleet_scale::fleet_scale;
+use crate::events::ClassIndex;
 use crate::settings::Settings;
 use crate::units::Milliseconds;
 use std::sync::Arc;
@@ -34,12 +35,12 @@
     }
 
     /// The latency objective of a class.
-    pub(super) fn latency_objective(&self, class: usize) -> Milliseconds {
-        Milliseconds(self.settings.classes[class].latency_objective_ms)
+    pub(super) fn latency_objective(&self, class: ClassIndex) -> Milliseconds {
+        self.settings.class(class).latency_objective
     }
 
     /// The expected latency up to which an endpoint has capacity for a first attempt of a class.
-    pub(super) fn acceptable_latency(&self, class: usize) -> Milliseconds {
+    pub(super) fn acceptable_latency(&self, class: ClassIndex) -> Milliseconds {
         self.latency_objective(class) * self.capacity_fraction
     }
 }
--- a/src/decisions/load_balancing/endpoint.rs
+++ b/src/decisions/load_balancing/endpoint.rs
@@ -1,21 +1,22 @@
-//! The record of one endpoint: its entry on the endpoint list, the attempts in flight there, and what has been learned
-//! from its answers.
+//! The record of one endpoint: its entry on the endpoint list, the attempts in flight there, and what has
+//! been learned from its answers.
 
-use crate::events::{EndpointState, RequestId};
+use crate::events::{CellId, ClassIndex, EndpointState, HardwareId, RequestId, ZoneId};
 use crate::statistics::{DecayingValue, TimeAveragedGauge, TimestampedSample};
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
-/// The time constant of the mean number of attempts in flight: long enough to average over slow requests, short
-/// enough to follow the load.
+/// The time constant of the mean number of attempts in flight: long enough to average over slow requests,
+/// short enough to follow the load.
 pub(super) const IN_FLIGHT_WINDOW: Milliseconds = Milliseconds(2000.0);
-/// The time constant with which failures are forgotten. Short, so that an endpoint that failed is tried again.
+/// The time constant with which failures are forgotten. Short, so that an endpoint that failed is tried
+/// again.
 const FAILURE_WINDOW: Milliseconds = Milliseconds(4000.0);
 
 /// An attempt that this gateway has in flight at an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InFlightAttempt {
-    pub class: usize,
+    pub class: ClassIndex,
     pub sent_at: Timestamp,
     /// The requests estimated to be in flight at the endpoint, from all gateways, when the attempt
     /// started.
@@ -25,17 +26,17 @@
 /// What is known of one endpoint.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRecord {
-    pub zone: u32,
-    pub cell: u32,
+    pub zone: ZoneId,
+    pub cell: CellId,
     /// Its registered weight, positive and finite.
     pub weight: f64,
     pub state: EndpointState,
-    pub hardware: u32,
+    pub hardware: HardwareId,
     /// When its present incarnation started; [`Timestamp::ZERO`] means long ago.
     pub started_at: Timestamp,
     pub last_attempt_at: Timestamp,
-    /// How long the endpoint takes to answer a request of average cost when it has no other, as learned from its
-    /// answers.
+    /// How long the endpoint takes to answer a request of average cost when it has no other, as learned
+    /// from its answers.
     pub service_time: Option<Milliseconds>,
     /// When the service time was last updated, also by a former incarnation; [`Timestamp::ZERO`] for never.
     pub service_time_updated_at: Timestamp,
@@ -49,7 +50,11 @@
 
 impl EndpointRecord {
     /// An endpoint that is new on the list. It counts as used now, so that it is not explored at once.
-    pub(super) fn new(hardware: u32, started_at: Timestamp, now: Timestamp) -> EndpointRecord {
+    pub(super) fn new(
+        hardware: HardwareId,
+        started_at: Timestamp,
+        now: Timestamp,
+    ) -> EndpointRecord {
         EndpointRecord {
             hardware,
             started_at,
@@ -86,7 +91,7 @@
     pub(super) fn attempt_started(
         &mut self,
         request: RequestId,
-        class: usize,
+        class: ClassIndex,
         load_at_start: f64,
         now: Timestamp,
     ) {
@@ -113,7 +118,8 @@
         Some(attempt)
     }
 
-    /// The failure rate: the decaying average of the values that [`EndpointRecord::set_failure_rate`] was given.
+    /// The failure rate: the decaying average of the values that [`EndpointRecord::set_failure_rate`] was
+    /// given.
     pub(super) fn failure_rate(&self, now: Timestamp) -> f64 {
         self.failure_rate.at(now, FAILURE_WINDOW)
     }
--- a/src/decisions/load_balancing/endpoint_table.rs
+++ b/src/decisions/load_balancing/endpoint_table.rs
@@ -5,8 +5,8 @@
 use crate::units::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least weight of an endpoint, relative to the weights of others. One that is registered with weight 0 still gets
-/// a few requests.
+/// The least weight of an endpoint, relative to the weights of others. One that is registered with weight 0
+/// still gets a few requests.
 const MIN_WEIGHT: f64 = 1e-3;
 /// The weight of an endpoint that is registered with an infinite one or with no number.
 const DEFAULT_WEIGHT: f64 = 1.0;
@@ -63,7 +63,7 @@
     }
 
     fn apply_entry(&mut self, listed: Endpoint, now: Timestamp) {
-        let started_at = Timestamp(listed.started_at_ms);
+        let started_at = listed.started_at;
         let entry = self.endpoints.entry(listed.name);
         let endpoint =
             entry.or_insert_with(|| EndpointRecord::new(listed.hardware, started_at, now));
--- a/src/decisions/load_balancing/estimates.rs
+++ b/src/decisions/load_balancing/estimates.rs
@@ -4,6 +4,7 @@
 use super::endpoint::EndpointRecord;
 use super::fleet::FleetEstimates;
 use super::slow_start::{expected_warmup_fraction, warmup_fraction};
+use crate::events::ClassIndex;
 use crate::statistics::{TimestampedSample, exponential_decay, geometric_step};
 use crate::units::{Milliseconds, Timestamp};
 
@@ -13,10 +14,11 @@
 const SERVICE_TIME_WINDOW: Milliseconds = Milliseconds(20_000.0);
 /// The number of other requests in flight at an endpoint with which its answer takes twice as long.
 const REQUESTS_THAT_DOUBLE_LATENCY: f64 = 2.0;
-/// Each similar peer is assumed to have at least this fraction of this gateway's own attempts in flight at an endpoint.
+/// Each similar peer is assumed to have at least this fraction of this gateway's own attempts in flight at
+/// an endpoint.
 const PEER_SIMILARITY: f64 = 0.5;
-/// An endpoint is expected to take at least this fraction of the age of its oldest attempt, so that one that has
-/// stopped answering looks slow before any attempt times out.
+/// An endpoint is expected to take at least this fraction of the age of its oldest attempt, so that one
+/// that has stopped answering looks slow before any attempt times out.
 const OLDEST_ATTEMPT_FRACTION: f64 = 0.5;
 
 /// Estimates as of one point in time.
@@ -52,8 +54,8 @@
         TimestampedSample::estimate(report, fallback, self.now, LOAD_REPORT_WINDOW)
     }
 
-    /// How long this endpoint takes to answer a request of an average class when it has no other; zero when nothing is
-    /// known. What was learned of it grows old and gives way to what is known of its hardware.
+    /// How long this endpoint takes to answer a request of an average class when it has no other; zero when
+    /// nothing is known. What was learned of it grows old and gives way to what is known of its hardware.
     pub(super) fn service_time(&self, endpoint: &EndpointRecord) -> Milliseconds {
         let of_hardware = self.fleet.hardware_service_time.get(&endpoint.hardware);
         let of_kind = of_hardware.copied().or(self.fleet.service_time);
@@ -70,8 +72,8 @@
     }
 
     /// The latency to expect from this endpoint for a request of a class.
-    pub(super) fn latency(&self, endpoint: &EndpointRecord, class: usize) -> Milliseconds {
-        let class_time = self.fleet.class_service_time[class];
+    pub(super) fn latency(&self, endpoint: &EndpointRecord, class: ClassIndex) -> Milliseconds {
+        let class_time = self.fleet.class_service_time[class.0];
         let class_factor = match self.fleet.service_time {
             Some(mean) if class_time > Milliseconds::ZERO && mean > Milliseconds::ZERO => {
                 class_time.ratio_to(mean)
--- a/src/decisions/load_balancing/fleet.rs
+++ b/src/decisions/load_balancing/fleet.rs
@@ -1,6 +1,7 @@
 //! What is estimated of all endpoints together.
 
 use super::endpoint::IN_FLIGHT_WINDOW;
+use crate::events::HardwareId;
 use crate::settings::Settings;
 use crate::statistics::{TimeAveragedGauge, TimestampedSample};
 use crate::units::{Milliseconds, Timestamp};
@@ -19,7 +20,7 @@
     /// The same by class; [`Milliseconds::ZERO`] before the first answer.
     pub class_service_time: Vec<Milliseconds>,
     /// The same by hardware model, over all classes.
-    pub hardware_service_time: BTreeMap<u32, Milliseconds>,
+    pub hardware_service_time: BTreeMap<HardwareId, Milliseconds>,
     /// The fraction of attempts that fail.
     pub failure_rate: f64,
     /// The mean over endpoints of the requests from other gateways that they reported in flight.
@@ -72,7 +73,7 @@
 fn initial_mean_latency(settings: &Settings) -> Milliseconds {
     let classes = settings.classes.iter();
     let shortest_objective = classes
-        .map(|class| Milliseconds(class.latency_objective_ms))
+        .map(|class| class.latency_objective)
         .fold(Milliseconds::INFINITY, Milliseconds::min);
     shortest_objective * INITIAL_LATENCY_FRACTION
 }
--- a/src/decisions/load_balancing/learning.rs
+++ b/src/decisions/load_balancing/learning.rs
@@ -4,18 +4,19 @@
 use super::endpoint::{EndpointRecord, InFlightAttempt};
 use super::estimates::{Estimator, service_time_step, slowdown};
 use super::fleet::FleetEstimates;
-use crate::events::{AttemptOutcome, AttemptResult};
+use crate::events::{AttemptOutcome, AttemptResult, ClassIndex};
 use crate::statistics::{TimestampedSample, arithmetic_step};
 use crate::units::{Milliseconds, Timestamp};
 
 /// The smoothing factor of one answer for the service time and the failure rate of its endpoint.
 const SMOOTHING: f64 = 0.04;
-/// The same for an endpoint that seems to have no capacity, and the most for answers that are rare. An endpoint
-/// without capacity is seldom chosen, and one of hundreds of gateways has few answers from each.
+/// The same for an endpoint that seems to have no capacity, and the most for answers that are rare. An
+/// endpoint without capacity is seldom chosen, and one of hundreds of gateways has few answers from each.
 const RARE_SMOOTHING: f64 = 0.3;
 /// Answers of an endpoint are rare if about this time or more passes between them.
 const RARE_ANSWER_INTERVAL: Milliseconds = Milliseconds(3000.0);
-/// The least smoothing factor of one answer for the estimates of the whole fleet, which has many more answers.
+/// The least smoothing factor of one answer for the estimates of the whole fleet, which has many more
+/// answers.
 const FLEET_SMOOTHING: f64 = 0.02;
 /// The smoothing factor of one load report for the mean over all endpoints.
 const REPORT_SMOOTHING: f64 = 0.1;
@@ -61,8 +62,7 @@
 struct ServiceTimeSample {
     /// As observed, for the class of the attempt.
     observed: Milliseconds,
-    /// The index of the class.
-    class: usize,
+    class: ClassIndex,
     /// How many times the fleet's average service time the class takes.
     class_factor: f64,
 }
@@ -91,7 +91,7 @@
         }
         self.update_failure_rates(is_failure(outcome.result));
         if is_latency_sample(outcome.result) {
-            let latency = Milliseconds(outcome.latency_ms);
+            let latency = outcome.latency;
             self.update_mean_latency(latency);
             let service_time = latency.max(MIN_LATENCY) / slowdown(attempt.load_at_start);
             self.update_service_times(service_time, attempt.class);
@@ -125,7 +125,7 @@
         self.fleet.mean_latency = Milliseconds(mean);
     }
 
-    fn update_service_times(&mut self, observed: Milliseconds, class: usize) {
+    fn update_service_times(&mut self, observed: Milliseconds, class: ClassIndex) {
         let fleet_weight = FLEET_SMOOTHING.max(1.0 / self.fleet.answers);
         let fleet_mean = self.fleet.service_time.unwrap_or(observed);
         let class_factor = self.update_class(observed, class, fleet_mean, fleet_weight);
@@ -145,11 +145,11 @@
     fn update_class(
         &mut self,
         observed: Milliseconds,
-        class: usize,
+        class: ClassIndex,
         fleet_mean: Milliseconds,
         weight: f64,
     ) -> f64 {
-        let class_mean = &mut self.fleet.class_service_time[class];
+        let class_mean = &mut self.fleet.class_service_time[class.0];
         if *class_mean <= Milliseconds::ZERO {
             *class_mean = observed;
             return 1.0;
@@ -197,8 +197,8 @@
     )
 }
 
-/// Whether the latency of an attempt says something about the endpoint's latency. After a time-out that is at least as
-/// long as the attempt was in flight.
+/// Whether the latency of an attempt says something about the endpoint's latency. After a time-out that is
+/// at least as long as the attempt was in flight.
 fn is_latency_sample(result: AttemptResult) -> bool {
     matches!(result, AttemptResult::Success | AttemptResult::TimedOut)
 }
--- a/src/decisions/load_balancing/mod.rs
+++ b/src/decisions/load_balancing/mod.rs
@@ -1,9 +1,9 @@
 //! Load balancing: which endpoint an attempt goes to.
 //!
-//! [`LoadBalancer`] owns all that this gateway knows of the endpoints. It estimates the latency to expect from each
-//! endpoint from the outcomes of attempts (`learning.rs`, `estimates.rs`), and compares a few candidates in a weighted
-//! random order, those of the gateway's own subset first (`selection.rs`, `subset.rs`). Endpoints that are warming up
-//! are chosen less often (`slow_start.rs`).
+//! [`LoadBalancer`] owns all that this gateway knows of the endpoints. It estimates the latency to expect
+//! from each endpoint from the outcomes of attempts (`learning.rs`, `estimates.rs`), and compares a few
+//! candidates in a weighted random order, those of the gateway's own subset first (`selection.rs`,
+//! `subset.rs`). Endpoints that are warming up are chosen less often (`slow_start.rs`).
 
 mod context;
 mod endpoint;
@@ -16,7 +16,9 @@
 mod subset;
 
 use super::retries::{PossibleExecution, RetryScope};
-use crate::events::{AttemptOutcome, Endpoint, EndpointListKind, EndpointName, RequestId};
+use crate::events::{
+    AttemptOutcome, ClassIndex, Endpoint, EndpointListKind, EndpointName, RequestId,
+};
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp};
 use context::ModelContext;
@@ -31,8 +33,7 @@
 /// Inputs to the choice of an endpoint for a retry.
 #[derive(Debug)]
 pub(crate) struct RetryAttempt<'a> {
-    /// The index of the request's class.
-    pub class: usize,
+    pub class: ClassIndex,
     /// The time that is left for an answer. An endpoint that is expected to take longer is not chosen.
     pub remaining: Milliseconds,
     /// The endpoints on which the request may be attempted again.
@@ -78,11 +79,11 @@
         self.fleet.mean_latency
     }
 
-    /// Chooses an endpoint for the first attempt of a request of this class. Returns `None` if no endpoint has
-    /// capacity for it.
+    /// Chooses an endpoint for the first attempt of a request of this class. Returns `None` if no endpoint
+    /// has capacity for it.
     pub(crate) fn choose_for_first_attempt(
         &self,
-        class: usize,
+        class: ClassIndex,
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Option<EndpointName> {
@@ -116,7 +117,7 @@
     pub(crate) fn attempt_started(
         &mut self,
         request: RequestId,
-        class: usize,
+        class: ClassIndex,
         endpoint: &EndpointName,
         now: Timestamp,
     ) {
@@ -135,8 +136,8 @@
         endpoint.attempt_started(request, class, load_at_start, now);
     }
 
-    /// Takes an attempt out of those in flight and updates the estimates by its outcome. An attempt that is not in
-    /// flight updates nothing.
+    /// Takes an attempt out of those in flight and updates the estimates by its outcome. An attempt that is
+    /// not in flight updates nothing.
     ///
     /// Returns where and when the attempt may have been executed.
     pub(crate) fn attempt_finished(
--- a/src/decisions/load_balancing/selection.rs
+++ b/src/decisions/load_balancing/selection.rs
@@ -7,7 +7,7 @@
 use super::slow_start::SlowStartLimiter;
 use super::subset::preferred_arc;
 use crate::decisions::retries::RetryScope;
-use crate::events::EndpointName;
+use crate::events::{ClassIndex, EndpointName};
 use crate::units::Milliseconds;
 use rand::Rng;
 
@@ -24,7 +24,7 @@
 
 /// An attempt that needs an endpoint.
 pub(super) struct Attempt<'a> {
-    pub class: usize,
+    pub class: ClassIndex,
     /// An endpoint that is expected to take longer has no capacity for the attempt.
     pub max_latency: Milliseconds,
     pub kind: AttemptKind<'a>,
@@ -114,8 +114,9 @@
     known.max(MIN_COMPARED).min(count)
 }
 
-/// The number of chances follows from the overload that warming endpoints tolerate. A retry has one for each endpoint
-/// compared: a request that one warming endpoint rejected must not be tried at all of them in turn.
+/// The number of chances follows from the overload that warming endpoints tolerate. A retry has one for
+/// each endpoint compared: a request that one warming endpoint rejected must not be tried at all of them in
+/// turn.
 fn slow_start_limiter(
     attempt: &Attempt,
     estimator: &Estimator,
@@ -130,8 +131,9 @@
     SlowStartLimiter::new(to_compare, chances)
 }
 
-/// Whether the attempt may test an endpoint that seems to have no capacity, since this gateway has sent nothing there
-/// lately and would otherwise learn nothing more of it. All gateways do so, so the interval grows with their number.
+/// Whether the attempt may test an endpoint that seems to have no capacity, since this gateway has sent
+/// nothing there lately and would otherwise learn nothing more of it. All gateways do so, so the interval
+/// grows with their number.
 fn may_explore(endpoint: &EndpointRecord, attempt: &Attempt, estimator: &Estimator) -> bool {
     let gateway_count = f64::from(estimator.context.settings.gateway_count);
     let unused_for = estimator.now - endpoint.last_attempt_at;
@@ -143,7 +145,7 @@
 fn cost(
     endpoint: &EndpointRecord,
     latency: Milliseconds,
-    class: usize,
+    class: ClassIndex,
     estimator: &Estimator,
 ) -> Milliseconds {
     let zone_factor = if endpoint.zone == estimator.context.settings.zone {
--- a/src/decisions/load_balancing/subset.rs
+++ b/src/decisions/load_balancing/subset.rs
@@ -1,13 +1,13 @@
 //! Deterministic subsetting: each gateway prefers some of the endpoints, so that it has connections to few
-//! of them and uses each often. All subsets together cover every endpoint by its weight, and change little when the
-//! list changes.
+//! of them and uses each often. All subsets together cover every endpoint by its weight, and change little
+//! when the list changes.
 
 use crate::settings::Settings;
 use crate::statistics::RingArc;
 
-/// The number of gateways that prefer each endpoint, where the gateways are many. With more, a gateway would use each
-/// endpoint too seldom to know it, over a connection of its own: 20 gateways with subsets of at least 10 open a tenth
-/// more connections and serve no better.
+/// The number of gateways that prefer each endpoint, where the gateways are many. With more, a gateway
+/// would use each endpoint too seldom to know it, over a connection of its own: 20 gateways with subsets of
+/// at least 10 open a tenth more connections and serve no better.
 const GATEWAYS_PER_ENDPOINT: f64 = 13.0;
 /// The least number of endpoints that a gateway prefers.
 const MIN_SUBSET_SIZE: f64 = 7.0;
--- a/src/decisions/load_shedding/mod.rs
+++ b/src/decisions/load_shedding/mod.rs
@@ -8,6 +8,7 @@
 
 pub use priority_tiers::{PriorityTier, PriorityTiers};
 
+use crate::events::{ClassIndex, PlanIndex};
 use crate::settings::Settings;
 use crate::statistics::{SlidingWindow, WindowShape};
 use crate::units::{Milliseconds, Timestamp};
@@ -17,8 +18,8 @@
 /// K: how many times the accepts may be forwarded. With a success rate under 1/K, all but the minimum is
 /// rejected.
 const ACCEPT_MULTIPLIER: f64 = 2.0;
-/// The sliding window. One of many gateways receives few requests, and a probability made of a handful is noise,
-/// so a slot stays open until it holds a few or has become old.
+/// The sliding window. One of many gateways receives few requests, and a probability made of a handful is
+/// noise, so a slot stays open until it holds a few or has become old.
 const WINDOW: WindowShape = WindowShape {
     slots: 10,
     slot_duration: Milliseconds(300.0),
@@ -28,7 +29,8 @@
 /// Each tier forwards this many requests a second for each endpoint, from all gateways together, whatever the
 /// probability, so that recovery is noticed: a minimum for each gateway would add up to an overload.
 const MIN_FORWARDED_PER_SECOND: f64 = 0.15;
-/// A request value (class weight times plan weight) below this fraction of a tier's highest begins the next tier.
+/// A request value (class weight times plan weight) below this fraction of a tier's highest begins the next
+/// tier.
 const TIER_RATIO: f64 = 0.7;
 
 /// How a request ended, as load shedding counts it.
@@ -80,9 +82,9 @@
     }
 
     /// The tier of a class and plan, if the settings have both.
-    pub(crate) fn tier_of(&self, class: usize, plan: usize) -> Option<PriorityTier> {
-        let class = self.settings.classes.get(class)?;
-        let plan = self.settings.plans.get(plan)?;
+    pub(crate) fn tier_of(&self, class: ClassIndex, plan: PlanIndex) -> Option<PriorityTier> {
+        let class = self.settings.classes.get(class.0)?;
+        let plan = self.settings.plans.get(plan.0)?;
         Some(self.tiers.tier_of(class.priority_weight * plan.weight))
     }
 
--- a/src/decisions/load_shedding/priority_tiers.rs
+++ b/src/decisions/load_shedding/priority_tiers.rs
@@ -4,8 +4,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PriorityTier(pub usize);
 
-/// Tiers of positive weights that differ by no more than a ratio: tier 0 begins at the highest weight, and the next
-/// tier at the first weight that is below `ratio` times the highest of the tier before.
+/// Tiers of positive weights that differ by no more than a ratio: tier 0 begins at the highest weight, and
+/// the next tier at the first weight that is below `ratio` times the highest of the tier before.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PriorityTiers {
     highest_weights: Vec<f64>,
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -11,8 +11,10 @@
 mod admission;
 mod attempts;
 mod fleet_scale;
+mod forwarding;
 mod load_balancing;
 pub(crate) mod load_shedding;
+mod permit_renewal;
 mod quota_client;
 mod quota_exchange;
 mod quota_owner;
--- a/src/decisions/quota_client.rs
+++ b/src/decisions/quota_client.rs
@@ -86,8 +86,8 @@
                 );
                 (state.demand * decay, state.granted)
             });
-    let mut sustainable = if plan.refill_rate > 0.0 {
-        plan.refill_rate
+    let mut sustainable = if plan.refill_rate.0 > 0.0 {
+        plan.refill_rate.0
     } else {
         f64::INFINITY
     };
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -4,7 +4,7 @@
 use super::fleet_scale::fleet_scale;
 use super::quota_client::keep_unused;
 use super::{Decisions, quota_owner};
-use crate::events::GatewayId;
+use crate::events::{GatewayId, PlanIndex};
 use crate::gossip::{
     GossipMessage, OwnerState, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey,
 };
@@ -20,11 +20,6 @@
 /// the fleet is large: what its gateways have in flight is not settled yet. With three it costs more than it
 /// saves.
 const BUCKET_RESERVE: f64 = 0.3;
-/// A permit of which nothing is heard for so many mean latencies and a little is taken for lost. Its holder
-/// renews it this often meanwhile: slow requests are the ones that would pass a limit unseen.
-const PERMIT_LEASE_LATENCIES: f64 = 6.0;
-const PERMIT_LEASE_MARGIN_MS: f64 = 20.0;
-const RENEWALS_PER_LEASE: f64 = 3.0;
 /// Timers may fire early by this much.
 pub(super) const TIMER_TOLERANCE_MS: f64 = 0.1;
 
@@ -32,7 +27,7 @@
     /// The tenant, which counts as seen now. A new one starts with a random part of the credit for polling
     /// the owner, so that the gateways of a shard do not poll together.
     pub(super) fn tenant(&mut self, account: AccountId) -> &mut Tenant {
-        let (plan, now_ms) = (&self.settings.plans[account.plan], self.now_ms);
+        let (plan, now_ms) = (self.settings.plan(account.plan), self.now_ms);
         let poll_credit = self.rng.random::<f64>();
         self.tenants.touch(account.tenant, now_ms, || Tenant {
             plan: account.plan,
@@ -41,13 +36,13 @@
         })
     }
 
-    fn owner_terms(&self, plan: usize) -> OwnerTerms {
-        let plan = self.settings.plans[plan].clone();
+    fn owner_terms(&self, plan: PlanIndex) -> OwnerTerms {
+        let plan = self.settings.plan(plan).clone();
         let penalty = plan.over_quota_penalty.min(1.0);
         OwnerTerms {
             reserve: BUCKET_RESERVE
                 * fleet_scale(&self.settings)
-                * self.settings.max_request_cost
+                * self.settings.max_request_cost.0
                 * penalty,
             mean_latency_ms: self.load_balancer.mean_latency().as_f64(),
             gossip_enabled: self.settings.gossip_enabled,
@@ -63,7 +58,7 @@
             (self.settings.clone(), self.permit_lease_ms(), self.now_ms);
         let tenant = self.tenant(account);
         tenant.owner.advance(
-            &settings.plans[tenant.plan],
+            settings.plan(tenant.plan),
             &quota_owner::LEDGER,
             lease_ms,
             now_ms,
@@ -94,7 +89,7 @@
         let Some(tenant) = self.tenants.get_mut(&account.tenant) else {
             return QuotaDecision::Denied;
         };
-        terms.plan = self.settings.plans[tenant.plan].clone();
+        terms.plan = self.settings.plan(tenant.plan).clone();
         quota_owner::decide(&mut tenant.owner, request, demand, &terms)
     }
 
@@ -127,14 +122,14 @@
     }
 
     pub(crate) fn settle_owned(&mut self, account: AccountId, cost: f64, permit: Option<PermitId>) {
-        let plan = self.settings.plans[account.plan].clone();
+        let plan = self.settings.plan(account.plan).clone();
         self.owned(account).settle(cost, permit, &plan);
         self.serve_owned_queue(account);
     }
 
     pub(crate) fn renew_owned(&mut self, account: AccountId, permit: PermitId) {
         if let Some(tenant) = self.tenants.get_mut(&account.tenant) {
-            let permits = self.settings.plans[tenant.plan].max_concurrency as usize;
+            let permits = self.settings.plan(tenant.plan).max_concurrency as usize;
             let capacity = quota_owner::MAX_RENEWED_PERMIT_MULTIPLE * permits;
             tenant.owner.renew_permit(permit, capacity, self.now_ms);
         }
@@ -162,7 +157,7 @@
             });
             return self.settle_owned(account, cost, permit);
         }
-        if permit.is_some() || (cost != 0.0 && self.settings.plans[plan].refill_rate > 0.0) {
+        if permit.is_some() || (cost != 0.0 && self.settings.plan(plan).refill_rate.0 > 0.0) {
             let delay_ms = if permit.is_some() {
                 0.0
             } else {
@@ -207,7 +202,7 @@
 
     /// Whether the gateways of a tenant's shard share the permits of its plan.
     pub(super) fn shares_permits(&self, account: AccountId) -> bool {
-        self.settings.plans[account.plan].max_concurrency > 0
+        self.settings.plan(account.plan).max_concurrency > 0
             && !self.tenants.has_local_permits(account)
     }
 
@@ -229,7 +224,7 @@
             (Some(pending), QuotaDecision::Granted { cost }) => {
                 // A grant that is repeated names no tokens.
                 if cost > 0.0 {
-                    self.return_unused(tenant, owner, cost - pending.request.cost, None);
+                    self.return_unused(tenant, owner, cost - pending.request.cost.0, None);
                 }
                 self.admit(PendingRequest {
                     authorization: Authorization::Granted(request),
@@ -268,45 +263,4 @@
             _ => self.return_unused(tenant, owner, cost, Some(request)),
         }
     }
-
-    /// For how long the owner takes a permit as in use without a renewal.
-    fn permit_lease_ms(&self) -> f64 {
-        PERMIT_LEASE_LATENCIES
-            * (self.load_balancer.mean_latency().as_f64() + PERMIT_LEASE_MARGIN_MS)
-    }
-
-    pub(super) fn set_renewal_timer(&mut self, permit: QuotaRequestId) {
-        self.actions
-            .set_request_timer(permit, self.permit_lease_ms() / RENEWALS_PER_LEASE);
-    }
-
-    /// Renews the lease of a permit, if a request in flight still uses it.
-    pub(super) fn renew_permit(&mut self, permit: QuotaRequestId) {
-        let due_ms = self.now_ms + TIMER_TOLERANCE_MS;
-        let holder = self.requests.due_permit_holder_mut(permit, due_ms);
-        let Some(account) = holder.map(|holder| holder.admitted.account) else {
-            return;
-        };
-        if !self.shares_permits(account) {
-            return;
-        }
-        let renew_at_ms = self.now_ms + self.permit_lease_ms() / RENEWALS_PER_LEASE;
-        if let Some(holder) = self.requests.due_permit_holder_mut(permit, due_ms) {
-            holder.renew_permit_at_ms = renew_at_ms;
-        }
-        self.set_renewal_timer(permit);
-        let AccountId { plan, owner, .. } = account;
-        if owner == self.settings.gateway {
-            self.renew_owned(
-                account,
-                PermitId {
-                    gateway: owner,
-                    request: permit,
-                },
-            );
-        } else {
-            self.actions
-                .send_to_owner(account, &GossipMessage::RenewPermit { plan, permit }, 0.0);
-        }
-    }
 }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -1,13 +1,13 @@
-//! Retries: whether a request may be attempted again after an attempt has failed, on which endpoints, and how many
-//! retries the retry budget allows.
+//! Retries: whether a request may be attempted again after an attempt has failed, on which endpoints, and
+//! how many retries the retry budget allows.
 
-use crate::events::AttemptResult;
+use crate::events::{AttemptResult, CellId, ClassIndex, ZoneId};
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass, Settings};
-use crate::units::{Milliseconds, Timestamp};
+use crate::units::Timestamp;
 use std::sync::Arc;
 
-/// The retries that each request adds to the budget. The budget keeps retries at a fraction of the requests, so that
-/// they cannot multiply an overload ("Handling Overload" in the SRE book).
+/// The retries that each request adds to the budget. The budget keeps retries at a fraction of the
+/// requests, so that they cannot multiply an overload ("Handling Overload" in the SRE book).
 const RETRIES_PER_REQUEST: f64 = 0.15;
 /// The most retries that are saved up in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
@@ -17,8 +17,8 @@
 /// An attempt that an endpoint may have executed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PossibleExecution {
-    pub zone: u32,
-    pub cell: u32,
+    pub zone: ZoneId,
+    pub cell: CellId,
     pub sent_at: Timestamp,
 }
 
@@ -32,7 +32,7 @@
 
 impl RetryScope {
     /// Whether endpoints of this zone and cell are in the scope.
-    pub(crate) fn includes(&self, zone: u32, cell: u32) -> bool {
+    pub(crate) fn includes(&self, zone: ZoneId, cell: CellId) -> bool {
         match self {
             RetryScope::Within(DeduplicationScope::Zone, first) => zone == first.zone,
             RetryScope::Within(DeduplicationScope::Cell, first) => cell == first.cell,
@@ -44,8 +44,7 @@
 /// Inputs to the decision on a retry, after an attempt has failed.
 #[derive(Debug)]
 pub(crate) struct FailedAttempt {
-    /// The index of the request's class.
-    pub class: usize,
+    pub class: ClassIndex,
     /// The number of attempts of the request so far.
     pub attempts: u32,
     pub result: AttemptResult,
@@ -78,8 +77,8 @@
         self.budget.withdraw(RETRY_COST);
     }
 
-    /// Where a request may be attempted again after an attempt has failed. Returns `None` if it may not, or if the
-    /// budget does not allow it.
+    /// Where a request may be attempted again after an attempt has failed. Returns `None` if it may not, or
+    /// if the budget does not allow it.
     pub(crate) fn retry_scope(&self, failed: &FailedAttempt, now: Timestamp) -> Option<RetryScope> {
         let max_attempts = self.settings.max_attempts;
         let exhausted = max_attempts > 0 && failed.attempts >= max_attempts;
@@ -87,7 +86,7 @@
         if exhausted || !affordable || !is_retryable(failed.result) {
             return None;
         }
-        let class = &self.settings.classes[failed.class];
+        let class = self.settings.class(failed.class);
         match failed.first_execution {
             Some(first) => deduplicated_scope(class, first, now),
             None => Some(RetryScope::Anywhere),
@@ -95,9 +94,9 @@
     }
 
     /// Whether a client may repeat a request of this class that an endpoint may have executed.
-    pub(crate) fn client_may_repeat(&self, class: usize) -> bool {
+    pub(crate) fn client_may_repeat(&self, class: ClassIndex) -> bool {
         matches!(
-            self.settings.classes[class].idempotency,
+            self.settings.class(class).idempotency,
             Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All)
         )
     }
@@ -109,7 +108,7 @@
     first: PossibleExecution,
     now: Timestamp,
 ) -> Option<RetryScope> {
-    let window = Milliseconds(class.deduplication_window_ms);
+    let window = class.deduplication_window;
     match class.idempotency {
         Idempotency::Idempotent => Some(RetryScope::Anywhere),
         Idempotency::Keyed(scope) if now - first.sent_at < window => {
--- a/src/records/client_ledger.rs
+++ b/src/records/client_ledger.rs
@@ -5,7 +5,7 @@
 use crate::settings::Plan;
 use crate::statistics::DecayingValue;
 use crate::token_bucket::{BucketLimits, TokenBucket};
-use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
+use crate::units::{Milliseconds, Timestamp, Tokens};
 
 /// The owner's state as it was last received.
 #[derive(Clone, Copy)]
@@ -55,7 +55,7 @@
             demand: DecayingValue::default(),
             unreported_demand: 0.0,
             prefetch: Prefetch::default(),
-            quota_allotment: TokenBucket::with_level(Tokens(plan.burst)),
+            quota_allotment: TokenBucket::with_level(plan.burst),
             hard_limit_allotment: TokenBucket::default(),
             allotments_at_ms: now_ms,
         }
@@ -75,13 +75,13 @@
         let gateways = f64::from(gateways);
         let fraction = hard_limit_fraction / gateways;
         let hard_limit = BucketLimits {
-            refill_rate: TokensPerSecond(plan.hard_limit_rate * fraction),
-            burst: Tokens(plan.hard_limit_burst * fraction),
+            refill_rate: plan.hard_limit_rate * fraction,
+            burst: plan.hard_limit_burst * fraction,
         };
         self.hard_limit_allotment.refill(hard_limit, elapsed);
         let quota = BucketLimits {
-            refill_rate: TokensPerSecond(plan.refill_rate / gateways),
-            burst: Tokens(plan.burst / gateways),
+            refill_rate: plan.refill_rate / gateways,
+            burst: plan.burst / gateways,
         };
         self.quota_allotment.refill(quota, elapsed);
     }
--- a/src/records/owner_ledger.rs
+++ b/src/records/owner_ledger.rs
@@ -5,7 +5,7 @@
 use crate::settings::Plan;
 use crate::statistics::exponential_decay;
 use crate::token_bucket::{BucketLimits, TokenBucket};
-use crate::units::{Milliseconds, Tokens, TokensPerSecond};
+use crate::units::{Milliseconds, Tokens};
 use std::collections::VecDeque;
 
 /// How an owner's ledger is kept.
@@ -41,7 +41,7 @@
     pub(crate) fn new(plan: &Plan, now_ms: f64) -> OwnerLedger {
         OwnerLedger {
             updated_at_ms: now_ms,
-            bucket: TokenBucket::with_level(Tokens(plan.burst)),
+            bucket: TokenBucket::with_level(plan.burst),
             overflow: 0.0,
             hard_limit: TokenBucket::default(),
             demand: 0.0,
@@ -83,16 +83,16 @@
 
     fn refill(&mut self, plan: &Plan, parameters: &OwnerLedgerParameters, elapsed: Milliseconds) {
         let limits = BucketLimits {
-            refill_rate: TokensPerSecond(plan.refill_rate),
-            burst: Tokens(plan.burst),
+            refill_rate: plan.refill_rate,
+            burst: plan.burst,
         };
         let refill = self.bucket.refill(limits, elapsed);
         let decay = exponential_decay(elapsed, Milliseconds(parameters.demand_window_ms));
         self.overflow =
             self.overflow * decay + refill.unlimited_level.as_f64() - refill.level.as_f64();
         let leased = BucketLimits {
-            refill_rate: TokensPerSecond(parameters.leased_rate_fraction * plan.hard_limit_rate),
-            burst: Tokens(parameters.leased_burst_fraction * plan.hard_limit_burst),
+            refill_rate: plan.hard_limit_rate * parameters.leased_rate_fraction,
+            burst: plan.hard_limit_burst * parameters.leased_burst_fraction,
         };
         self.hard_limit.refill(leased, elapsed);
         self.demand *= decay;
@@ -166,7 +166,7 @@
 
     /// Charges tokens that were used without a grant, or takes back unused ones (`cost` below zero), and a permit.
     pub(crate) fn settle(&mut self, cost: f64, permit: Option<PermitId>, plan: &Plan) {
-        self.bucket.settle(Tokens(cost), Tokens(plan.burst));
+        self.bucket.settle(Tokens(cost), plan.burst);
         if let Some(permit) = permit {
             self.permits.release(permit);
         }
--- a/src/records/requests.rs
+++ b/src/records/requests.rs
@@ -2,14 +2,14 @@
 
 use crate::decisions::load_shedding::PriorityTier;
 use crate::decisions::retries::PossibleExecution;
-use crate::events::{GatewayId, Request};
+use crate::events::{GatewayId, PlanIndex, Request};
 use crate::gossip::{QuotaRequest, QuotaRequestId, TenantKey};
 
 /// The account of a tenant on a plan, and the gateway that owns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AccountId {
     pub tenant: TenantKey,
-    pub plan: usize,
+    pub plan: PlanIndex,
     pub owner: GatewayId,
 }
 
@@ -120,7 +120,7 @@
         needs_permit: bool,
         expires_at_ms: f64,
     ) -> QuotaRequest {
-        let (id, cost) = (self.quota_request, self.request.cost);
+        let (id, cost) = (self.quota_request, self.request.cost.0);
         QuotaRequest {
             gateway,
             id,
--- a/src/statistics/timestamped_sample.rs
+++ b/src/statistics/timestamped_sample.rs
@@ -19,8 +19,8 @@
         TimestampedSample { value, observed_at }
     }
 
-    /// The [weighted mean](TimestampedSample::weighted_mean) of a sample and a fallback value, or the fallback value
-    /// if there is no sample.
+    /// The [weighted mean](TimestampedSample::weighted_mean) of a sample and a fallback value, or the
+    /// fallback value if there is no sample.
     #[must_use]
     pub fn estimate(
         sample: Option<Self>,
@@ -33,8 +33,8 @@
         })
     }
 
-    /// The mean of the sample and a fallback value. The sample's weight is 1 when it is new and decays exponentially
-    /// with its age; the rest of the weight belongs to the fallback value.
+    /// The mean of the sample and a fallback value. The sample's weight is 1 when it is new and decays
+    /// exponentially with its age; the rest of the weight belongs to the fallback value.
     #[must_use]
     pub fn weighted_mean(&self, fallback: f64, now: Timestamp, time_constant: Milliseconds) -> f64 {
         let sample_weight = exponential_decay(now - self.observed_at, time_constant);
