--- a/src/decisions/load_balancing/estimates.rs
+++ b/src/decisions/load_balancing/estimates.rs
@@ -37,13 +37,14 @@
 
     /// The requests estimated to be in flight at an endpoint, from all gateways.
     pub(super) fn load(&self, endpoint: &EndpointRecord) -> f64 {
-        // With all peers, a busy gateway of a hundred would take all endpoints for full and reject for
-        // good.
+        // If all peers counted, a busy gateway among a hundred would estimate every endpoint as full and
+        // would go on rejecting.
         let peers = self.context.similar_peers;
         let fleet_mean = self.fleet.mean_in_flight(self.now) / self.endpoint_count.max(1) as f64;
-        // All peers together: as this gateway on average, or as fresh reports from any endpoint say.
+        // The mean load from all peers together: as fresh load reports say, or else as from this gateway.
         let peer_mean = self.reported_or(self.fleet.reported_others, fleet_mean * peers);
-        // Peers see the same rush: the mean alone lags behind a queue that all of them build at once.
+        // Peers get more requests at the same time as this gateway: the mean alone lags behind a queue that
+        // all of them build at once.
         let own = endpoint.in_flight_count();
         let own_mean = endpoint.mean_in_flight(self.now).max(PEER_SIMILARITY * own);
         let others = (peer_mean + (own_mean - fleet_mean) * peers).max(0.0);
--- a/src/decisions/load_balancing/selection.rs
+++ b/src/decisions/load_balancing/selection.rs
@@ -11,8 +11,8 @@
 use crate::units::Milliseconds;
 use rand::Rng;
 
-/// At least this many endpoints with capacity are compared, and more where each gateway knows more. With few
-/// gateways each knows every endpoint and compares all; with many, all would choose the same few.
+/// The least number of endpoints with capacity that are compared. One of few gateways knows the load of every
+/// endpoint and compares all of them. Many gateways that compared all would all choose the same few.
 const MIN_COMPARED: f64 = 2.0;
 /// The exploration interval: each gateway leaves an endpoint without capacity alone for this long before one
 /// attempt tries it again.
--- a/src/decisions/load_shedding/mod.rs
+++ b/src/decisions/load_shedding/mod.rs
@@ -18,8 +18,8 @@
 /// K: how many times the accepts may be forwarded. With a success rate under 1/K, all but the minimum is
 /// rejected.
 const ACCEPT_MULTIPLIER: f64 = 2.0;
-/// The sliding window. One of many gateways receives few requests, and a probability made of a handful is
-/// noise, so a slot stays open until it holds a few or has become old.
+/// The sliding window. One of many gateways receives few requests, and a probability computed from a handful
+/// is noise, so a slot stays open until it holds a few or has become old.
 const WINDOW: WindowShape = WindowShape {
     slots: 10,
     slot_duration: Milliseconds(300.0),
@@ -27,7 +27,7 @@
     max_slot_duration: Milliseconds(3000.0),
 };
 /// Each tier forwards this many requests a second for each endpoint, from all gateways together, whatever the
-/// probability, so that recovery is noticed: a minimum for each gateway would add up to an overload.
+/// probability, so that recovery is noticed. A minimum for each gateway would add up to an overload.
 const MIN_FORWARDED_PER_SECOND: f64 = 0.15;
 /// A request value (class weight times plan weight) below this fraction of a tier's highest begins the next
 /// tier.
@@ -36,9 +36,10 @@
 /// How a request ended, as load shedding counts it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// An endpoint answered it in time, so there was capacity for it.
+    /// An endpoint answered it within the latency objective, if only with an error: there was capacity for
+    /// it.
     Accepted,
-    /// It was rejected, failed, or was answered too late.
+    /// It was rejected or failed, or its latency objective passed before an answer.
     Unserved,
 }
 
--- a/src/statistics/ring.rs
+++ b/src/statistics/ring.rs
@@ -11,10 +11,17 @@
     pub length: f64,
 }
 
-/// The golden ratio less 1, whose multiples are spread evenly over the ring: any range of
-/// consecutive ones.
+/// The golden ratio less 1. The fractional parts of any range of its consecutive multiples are spread evenly over the
+/// ring.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
+/// An item, and what its position in the order depends on.
+struct OrderedItem<T> {
+    is_off_arc: bool,
+    key: f64,
+    item: T,
+}
+
 impl RingArc {
     /// The arc of this number among arcs of this length. The starts of any range of consecutive
     /// numbers are spread evenly over the ring.
@@ -48,17 +55,24 @@
     pub fn weighted_random_order<T: Copy>(&self, items: &[(T, f64)], rng: &mut impl Rng) -> Vec<T> {
         let total_weight = items.iter().fold(0.0, |sum, (_, weight)| sum + weight);
         let mut position = 0.0;
-        let mut keyed: Vec<(bool, f64, T)> = Vec::with_capacity(items.len());
+        let mut order: Vec<OrderedItem<T>> = Vec::with_capacity(items.len());
         for (item, weight) in items {
             let from = position / total_weight;
             let to = (position + weight) / total_weight;
             position += weight;
             let overlap = self.overlap(from, to);
             let weight = if overlap > 0.0 { overlap } else { to - from };
-            keyed.push((overlap <= 0.0, weighted_random_key(weight, rng), *item));
+            order.push(OrderedItem {
+                is_off_arc: overlap <= 0.0,
+                key: weighted_random_key(weight, rng),
+                item: *item,
+            });
         }
-        keyed.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        keyed.into_iter().map(|(_, _, item)| item).collect()
+        order.sort_by(|one, other| {
+            let by_arc = one.is_off_arc.cmp(&other.is_off_arc);
+            by_arc.then(one.key.total_cmp(&other.key))
+        });
+        order.into_iter().map(|ordered| ordered.item).collect()
     }
 }
 
--- a/tests/statistics/averages.rs
+++ b/tests/statistics/averages.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_arithmetic_step_moves_by_a_part_of_the_difference() {
+fn an_arithmetic_step_moves_by_a_fraction_of_the_difference() {
     assert_exactly(arithmetic_step(10.0, 20.0, 0.25), 12.5);
     assert_exactly(arithmetic_step(10.0, 20.0, 0.0), 10.0);
     assert_exactly(arithmetic_step(10.0, 20.0, 1.0), 20.0);
--- a/tests/statistics/ring_arc.rs
+++ b/tests/statistics/ring_arc.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// How often item 0 of these comes first, of 1.
-fn part_of_first_places(arc: RingArc, items: &[(usize, f64)]) -> f64 {
+fn fraction_of_first_places(arc: RingArc, items: &[(usize, f64)]) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let rounds = 20_000;
     let first = (0..rounds)
@@ -56,8 +56,8 @@
         start: 0.0,
         length: 1.0,
     };
-    let part = part_of_first_places(arc, &[(0, 3.0), (1, 1.0)]);
-    assert!((part - 0.75).abs() < 0.02, "{part}");
+    let fraction = fraction_of_first_places(arc, &[(0, 3.0), (1, 1.0)]);
+    assert!((fraction - 0.75).abs() < 0.02, "{fraction}");
 }
 
 #[test]
@@ -73,31 +73,31 @@
         assert!(order[0] < 2 && order[1] < 2, "{order:?}");
         assert_eq!(order.len(), 4);
     }
-    let part = part_of_first_places(arc, &items);
-    assert!((part - 0.75).abs() < 0.02, "{part}");
+    let fraction = fraction_of_first_places(arc, &items);
+    assert!((fraction - 0.75).abs() < 0.02, "{fraction}");
 }
 
 #[test]
-fn an_item_partly_on_the_arc_counts_with_that_part() {
+fn an_item_partly_on_the_arc_counts_by_its_overlap() {
     let arc = RingArc {
         start: 0.25,
         length: 0.5,
     };
     // On the arc lie 0.25 of item 0 and 0.25 of item 1, of 0.5 each.
-    let part = part_of_first_places(arc, &[(0, 5.0), (1, 5.0)]);
-    assert!((part - 0.5).abs() < 0.02, "{part}");
+    let fraction = fraction_of_first_places(arc, &[(0, 5.0), (1, 5.0)]);
+    assert!((fraction - 0.5).abs() < 0.02, "{fraction}");
     let narrow = RingArc {
         start: 0.375,
         length: 0.25,
     };
-    let part = part_of_first_places(narrow, &[(0, 7.0), (1, 7.0)]);
-    assert!((part - 0.5).abs() < 0.02, "{part}");
+    let fraction = fraction_of_first_places(narrow, &[(0, 7.0), (1, 7.0)]);
+    assert!((fraction - 0.5).abs() < 0.02, "{fraction}");
     let uneven = RingArc {
         start: 0.25,
         length: 0.3125,
     };
-    let part = part_of_first_places(uneven, &[(0, 1.0), (1, 1.0)]);
-    assert!((part - 0.8).abs() < 0.02, "{part}");
+    let fraction = fraction_of_first_places(uneven, &[(0, 1.0), (1, 1.0)]);
+    assert!((fraction - 0.8).abs() < 0.02, "{fraction}");
 }
 
 #[test]
