--- a/src/decisions/load_balancing/endpoint.rs
+++ b/src/decisions/load_balancing/endpoint.rs
@@ -6,8 +6,8 @@
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
-/// The time constant of the mean number of attempts in flight: long enough to average over slow requests,
-/// short enough to follow the load.
+/// The time constant of the mean number of attempts in flight. It equals the window over which the demand of
+/// tenants is measured.
 pub(super) const IN_FLIGHT_WINDOW: Milliseconds = Milliseconds(2000.0);
 /// The time constant with which failures are forgotten. Short, so that an endpoint that failed is tried
 /// again.
