--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -106,9 +106,8 @@
         self.connection.pending_responses() < MAX_PIPELINED
     }
 
-    /// Waits for something to do. Breaks when the client has disconnected, also while its input is not read (tests
-    /// `half_close_behind_a_full_pipeline_drops_the_waiting_request`,
-    /// `reset_behind_a_full_pipeline_drops_the_waiting_request`).
+    /// Waits for something to do. Breaks when the client has disconnected, also while its input is not read (test
+    /// `a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read`).
     async fn wait(&mut self) -> ControlFlow<()> {
         let connection = &self.connection;
         let socket = connection.socket();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -37,7 +37,8 @@
 //!
 //! | crossing | settled by | tests |
 //! | --- | --- | --- |
-//! | unseen disconnect of a client whose pipeline is full | `ConnectionTask::serve`, `ConnectionTask::wait` | `a_command_behind_a_full_pipeline_is_not_started_after_an_unseen_disconnect`, `half_close_behind_a_full_pipeline_drops_the_waiting_request`, `reset_behind_a_full_pipeline_drops_the_waiting_request` |
+//! | unseen disconnect of a client whose pipeline was full | `ConnectionTask::serve` | `a_command_behind_a_full_pipeline_is_not_started_after_an_unseen_disconnect` |
+//! | disconnect of a client whose input is not read because its pipeline is full | `ConnectionTask::wait` | `a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read` |
 //! | disconnect behind malformed input | `ConnectionTask::reject` | `half_close_behind_malformed_input_drops_the_waiting_request` |
 //! | disconnect while a batch of commands is started | `ConnectionTask::start_commands` | `the_rest_of_a_batch_of_commands_is_not_started_after_an_unseen_disconnect` |
 //! | request that arrives together with the disconnect | `ConnectionTask::start_request` | `request_that_arrives_together_with_the_disconnect_is_not_forwarded`, `ping_that_arrives_together_with_a_half_close_is_answered` |
@@ -51,9 +52,10 @@
 //! | connection that opens after its attempt has ended | `Forwarder::connect_finished` | `a_connect_that_ends_after_its_attempt_carries_only_a_later_request` |
 //! | deduplication window that passes while a connection opens | `ProxiedRequests::send_command` | `a_keyed_request_is_not_retried_if_its_deduplication_window_passes_during_the_connect` |
 //! | endpoint that begins to drain while a connection opens | `Forwarder::send_command` | `request_goes_elsewhere_if_its_endpoint_starts_draining_while_connecting` |
-//! | late bytes of a response on a connection that is used again | `IdleConnections::take_newest` | `late_answer_never_reaches_the_next_request`, `connection_is_not_reused_before_its_reuse_delay_has_passed` |
+//! | answer to an attempt that has been abandoned | `Attempt::close_connection` | `late_answer_never_reaches_the_next_request` |
+//! | late bytes of a response on a connection that is used again | `IdleConnections::take_newest` | `connection_is_not_reused_before_its_reuse_delay_has_passed` |
 //! | request whose deadline lies after the kill | `ServicePhase::limit` | `request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit` |
-//! | new owner of an address that the list has not removed | `EndpointRegistry::apply` | `keyed_request_is_not_retried_in_another_pod_group_after_its_address_was_reused`, `new_endpoint_at_a_reused_address_gets_no_connection_of_its_predecessor` |
+//! | new owner of an address that the list has not removed | `EndpointRegistry::apply` | `new_endpoint_at_a_reused_address_gets_no_connection_of_its_predecessor` |
 //! | removal of an endpoint that is reported without its other fields | `EndpointUpdate::from_json` | `removed_endpoint_needs_no_description` |
 //! | watch that is silent or never ends a line, and calls after it that hang | `Watcher::watch` | `a_silent_watch_leaves_time_for_two_calls_that_hang`, `pieces_of_a_line_without_an_end_do_not_keep_a_watch_alive` |
 //! | SIGTERM before the first endpoint list | `run` | `sigterm_ends_a_gateway_that_waits_for_its_first_endpoint_list` |
--- a/tests/gateway/gateway.rs
+++ b/tests/gateway/gateway.rs
@@ -345,3 +345,31 @@
         );
     });
 }
+
+#[test]
+fn a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read() {
+    run_local(async {
+        let (endpoint, _) = bind_any().await;
+        let (gateway, endpoint_side) = gateway_with_slow_connection(&endpoint).await;
+        let (clients, mut client) = client_with_request(&gateway, "pay", 4).await;
+        wait_for_bytes(&endpoint_side, "the first request").await;
+        // The pipeline is full before the last command, which stays unread in the socket and hides the end there.
+        client.write_all(&PING.repeat(127)).await.expect("written");
+        for _ in 0..1000 {
+            yield_now().await;
+        }
+        client
+            .write_all(&command("pay", "00000000000000ff", 4))
+            .await
+            .expect("written");
+        SockRef::from(&client)
+            .shutdown(Shutdown::Write)
+            .expect("open");
+        wait_for_client_closed(&clients).await;
+        assert_eq!(
+            gateway.borrow().requests_received(),
+            1,
+            "the last command was started"
+        );
+    });
+}
