--- a/src/gossip/codec.rs
+++ b/src/decisions/gossip/codec.rs
@@ -1,35 +1,32 @@
-//! The text form of gossip messages. Figures have one decimal; keys and request numbers are hexadecimal.
+//! The text form of gossip messages. Numbers have one decimal; keys and request numbers are hexadecimal.
 
 use super::{GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey};
 use crate::events::GatewayId;
+use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
-/// Figures of this size or larger are taken for damage.
-const FIGURE_LIMIT: f64 = 1e9;
+/// Numbers of this magnitude or more are rejected: no gateway sends them, so the datagram is damaged.
+const NUMBER_LIMIT: f64 = 1e9;
 
 const DENIED: u8 = 0;
 const GRANTED: u8 = 1;
 const QUEUED: u8 = 2;
 
-/// The text of a message. In place of the time at which a request expires it holds how long that is from now, as
-/// clocks of gateways differ.
-pub(crate) fn encode(tenant: TenantKey, message: &GossipMessage, now_ms: f64) -> String {
+/// The text of a message. In place of the time at which a request expires it holds the duration until then, because
+/// the clocks of gateways differ.
+pub(super) fn encode(tenant: TenantKey, message: &GossipMessage, now: Timestamp) -> String {
     let key = tenant.0;
     match *message {
-        GossipMessage::RequestQuota {
-            plan,
-            request,
-            demand,
-        } => encode_request(key, plan, &request, demand, now_ms),
+        GossipMessage::RequestQuota { plan, request } => encode_request(key, plan, &request, now),
         GossipMessage::SettleUsage { plan, cost, permit } => {
             let permit = permit.map_or(String::new(), |permit| format!("{:x}", permit.0));
-            format!("t,{key:x},{plan},{permit},{cost:.1};")
+            format!("t,{key:x},{plan},{permit},{:.1};", cost.0)
         }
         GossipMessage::ReportUnconfirmedUsage {
             plan,
             last_request,
             cost,
         } => {
-            format!("u,{key:x},{plan},{:x},{cost:.1};", last_request.0)
+            format!("u,{key:x},{plan},{:x},{:.1};", last_request.0, cost.0)
         }
         GossipMessage::RenewPermit { plan, permit } => {
             format!("k,{key:x},{plan},{:x};", permit.0)
@@ -42,74 +39,66 @@
     }
 }
 
-fn encode_request(
-    key: u64,
-    plan: usize,
-    request: &QuotaRequest,
-    demand: f64,
-    now_ms: f64,
-) -> String {
+fn encode_request(key: u64, plan: usize, request: &QuotaRequest, now: Timestamp) -> String {
     let kind = if request.needs_permit { 'p' } else { 'a' };
     let QuotaRequest {
-        id,
-        cost,
-        prefetch,
-        expires_at_ms,
+        id: QuotaRequestId(number),
+        cost: Tokens(cost),
+        prefetch: Tokens(prefetch),
+        demand: Tokens(demand),
+        expires_at,
         ..
     } = *request;
-    let valid_for_ms = expires_at_ms - now_ms;
-    let number = id.0;
-    format!(
-        "{kind},{key:x},{plan},{number:x},{cost:.1},{prefetch:.1},{demand:.1},{valid_for_ms:.0};"
-    )
+    let Milliseconds(valid_for) = expires_at - now;
+    format!("{kind},{key:x},{plan},{number:x},{cost:.1},{prefetch:.1},{demand:.1},{valid_for:.0};")
 }
 
 fn encode_response(
     key: u64,
-    request: QuotaRequestId,
+    QuotaRequestId(number): QuotaRequestId,
     decision: QuotaDecision,
     state: &OwnerState,
 ) -> String {
-    let (code, cost) = match decision {
-        QuotaDecision::Denied => (DENIED, 0.0),
+    let (code, Tokens(cost)) = match decision {
+        QuotaDecision::Denied => (DENIED, Tokens::ZERO),
         QuotaDecision::Granted { cost } => (GRANTED, cost),
-        QuotaDecision::Queued => (QUEUED, 0.0),
+        QuotaDecision::Queued => (QUEUED, Tokens::ZERO),
     };
     let OwnerState {
-        demand,
-        granted,
-        tokens,
+        demand: TokensPerSecond(demand),
+        granted: TokensPerSecond(granted),
+        tokens: Tokens(tokens),
     } = *state;
-    let number = request.0;
     format!("g,{key:x},{code},{number:x},{cost:.1},{demand:.1},{granted:.1},{tokens:.1};")
 }
 
-/// The messages in a datagram from this gateway, in their order. Items that cannot be read are passed over.
+/// The messages in a datagram from this gateway, in their order. Items that cannot be parsed are skipped.
 pub(crate) fn decode(
     text: &str,
     from: GatewayId,
-    now_ms: f64,
+    now: Timestamp,
 ) -> impl Iterator<Item = (TenantKey, GossipMessage)> {
     text.split(';')
-        .filter_map(move |item| decode_item(item, from, now_ms))
+        .filter_map(move |item| decode_item(item, from, now))
 }
 
-fn decode_item(text: &str, from: GatewayId, now_ms: f64) -> Option<(TenantKey, GossipMessage)> {
+fn decode_item(text: &str, from: GatewayId, now: Timestamp) -> Option<(TenantKey, GossipMessage)> {
     let fields = Fields(text.split(',').collect());
     let tenant = TenantKey(fields.hexadecimal(1)?);
-    // The plan, but in a response the decision.
+    // The plan, except in a response, where it is the decision.
     let code: usize = fields.0.get(2)?.parse().ok()?;
     let message = match fields.0[0] {
-        kind @ ("a" | "p") => decode_request(&fields, kind == "p", code, from, now_ms)?,
+        "a" => decode_request(&fields, false, code, from, now)?,
+        "p" => decode_request(&fields, true, code, from, now)?,
         "t" => GossipMessage::SettleUsage {
             plan: code,
-            cost: fields.figure(4)?,
+            cost: Tokens(fields.signed_number(4)?),
             permit: fields.request_id(3),
         },
         "u" => GossipMessage::ReportUnconfirmedUsage {
             plan: code,
             last_request: fields.request_id(3)?,
-            cost: fields.amount(4)?,
+            cost: Tokens(fields.number(4)?),
         },
         "k" => GossipMessage::RenewPermit {
             plan: code,
@@ -126,25 +115,22 @@
     needs_permit: bool,
     plan: usize,
     gateway: GatewayId,
-    now_ms: f64,
+    now: Timestamp,
 ) -> Option<GossipMessage> {
     let request = QuotaRequest {
         gateway,
         id: fields.request_id(3)?,
-        cost: fields.amount(4)?,
-        prefetch: fields.amount(5)?,
+        cost: Tokens(fields.number(4)?),
+        prefetch: Tokens(fields.number(5)?),
+        demand: Tokens(fields.number(6)?),
         needs_permit,
-        expires_at_ms: now_ms + fields.amount(7)?,
+        expires_at: now + Milliseconds(fields.number(7)?),
     };
-    Some(GossipMessage::RequestQuota {
-        plan,
-        request,
-        demand: fields.amount(6)?,
-    })
+    Some(GossipMessage::RequestQuota { plan, request })
 }
 
 fn decode_response(fields: &Fields, code: usize) -> Option<GossipMessage> {
-    let cost = fields.amount(4)?;
+    let cost = Tokens(fields.number(4)?);
     let decision = match u8::try_from(code).ok()? {
         DENIED => QuotaDecision::Denied,
         GRANTED => QuotaDecision::Granted { cost },
@@ -152,9 +138,9 @@
         _ => return None,
     };
     let state = OwnerState {
-        demand: fields.amount(5)?,
-        granted: fields.amount(6)?,
-        tokens: fields.figure(7)?,
+        demand: TokensPerSecond(fields.number(5)?),
+        granted: TokensPerSecond(fields.number(6)?),
+        tokens: Tokens(fields.signed_number(7)?),
     };
     Some(GossipMessage::QuotaResponse {
         request: fields.request_id(3)?,
@@ -175,16 +161,13 @@
         self.hexadecimal(index).map(QuotaRequestId)
     }
 
-    fn figure(&self, index: usize) -> Option<f64> {
-        self.0
-            .get(index)?
-            .parse::<f64>()
-            .ok()
-            .filter(|figure| figure.abs() < FIGURE_LIMIT)
+    fn signed_number(&self, index: usize) -> Option<f64> {
+        let number: f64 = self.0.get(index)?.parse().ok()?;
+        Some(number).filter(|number| number.abs() < NUMBER_LIMIT)
     }
 
-    /// A figure that may not be below zero.
-    fn amount(&self, index: usize) -> Option<f64> {
-        self.figure(index).filter(|figure| *figure >= 0.0)
+    /// A number that may not be negative.
+    fn number(&self, index: usize) -> Option<f64> {
+        self.signed_number(index).filter(|number| *number >= 0.0)
     }
 }
--- a/src/gossip/messages.rs
+++ b/src/decisions/gossip/messages.rs
@@ -1,10 +1,11 @@
 //! The typed messages that gateways exchange about the quota of a tenant.
 
 use crate::events::GatewayId;
+use crate::units::{Timestamp, Tokens, TokensPerSecond};
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// The bits of a key that the tenant's name gives.
+/// The bits of a key that are the hash of the tenant's name.
 const NAME_BITS: u32 = 40;
 const NAME_MASK: u64 = (1 << NAME_BITS) - 1;
 
@@ -19,14 +20,13 @@
         let mut hasher = FnvHasher::default();
         hasher.write(name.as_bytes());
         let hash = hasher.finish();
-        let name_part = (hash ^ (hash >> NAME_BITS)) & NAME_MASK;
-        TenantKey(name_part | (plan as u64) << NAME_BITS)
+        let name_hash = (hash ^ (hash >> NAME_BITS)) & NAME_MASK;
+        TenantKey(name_hash | (plan as u64) << NAME_BITS)
     }
 
-    /// Which gateway of a shard of this size, counted from its start, owns the quotas of the tenant. The name
-    /// alone decides, so one gateway owns the accounts of all its plans.
-    pub(crate) fn owner_offset(self, shard_size: u32) -> u32 {
-        ((self.0 & NAME_MASK) % u64::from(shard_size)) as u32
+    /// The hash of the tenant's name, which is the same for all its plans.
+    pub(crate) fn name_hash(self) -> u64 {
+        self.0 & NAME_MASK
     }
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct QuotaRequestId(pub u64);
 
-/// A granted quota request in the fleet. Where the plan limits concurrency, it stands for a permit as well.
+/// A granted quota request, identified in the whole fleet. Where the plan limits concurrency, it is a permit as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PermitId {
     pub gateway: GatewayId,
@@ -46,14 +46,16 @@
 pub(crate) struct QuotaRequest {
     pub gateway: GatewayId,
     pub id: QuotaRequestId,
-    /// The cost in tokens; 0 where prefetched tokens already cover it.
-    pub cost: f64,
-    /// Tokens asked for in advance, for requests to come.
-    pub prefetch: f64,
+    /// The cost; 0 where prefetched tokens already cover it.
+    pub cost: Tokens,
+    /// Tokens to lease in advance, for later requests.
+    pub prefetch: Tokens,
+    /// The demand at the gateway since the last quota request that it sent.
+    pub demand: Tokens,
     /// Whether it needs one of the permits that all gateways of the shard share.
     pub needs_permit: bool,
     /// Until when it may wait for a permit.
-    pub expires_at_ms: f64,
+    pub expires_at: Timestamp,
 }
 
 impl QuotaRequest {
@@ -66,49 +68,47 @@
     }
 }
 
-/// What the owner decides on a quota request.
+/// The owner's decision on a quota request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaDecision {
+    /// The request is to be rejected.
     Denied,
-    /// So many tokens are granted; 0 where the request was granted before.
+    /// The request may be forwarded.
     Granted {
-        cost: f64,
+        /// The tokens that are granted, those leased in advance among them; 0 where the request was granted before.
+        cost: Tokens,
     },
-    /// It waits for a permit.
+    /// The request waits for a permit.
     Queued,
 }
 
-/// The owner's account as of its last response.
+/// The state of the owner's account, which goes with each of its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct OwnerState {
-    /// Tokens a second that all gateways were asked for.
-    pub demand: f64,
-    /// Tokens a second that the owner granted.
-    pub granted: f64,
-    /// Tokens left in the bucket; below zero while it is overdrawn.
-    pub tokens: f64,
+    /// The rate at which all gateways together were asked for tokens.
+    pub demand: TokensPerSecond,
+    /// The rate at which the owner granted tokens.
+    pub granted: TokensPerSecond,
+    /// The tokens in the bucket; negative while it is overdrawn.
+    pub tokens: Tokens,
 }
 
 /// A message about one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipMessage {
-    /// To the owner: a quota request, and the demand in tokens since the last one.
-    RequestQuota {
-        plan: usize,
-        request: QuotaRequest,
-        demand: f64,
-    },
-    /// To the owner: tokens to charge, or below zero to return, and a permit to release.
+    /// To the owner: a quota request.
+    RequestQuota { plan: usize, request: QuotaRequest },
+    /// To the owner: tokens to charge, or to return where negative, and a permit to release.
     SettleUsage {
         plan: usize,
-        cost: f64,
+        cost: Tokens,
         permit: Option<QuotaRequestId>,
     },
-    /// To the owner: tokens used while it was not heard from, and the last request among them.
+    /// To the owner: tokens used while it did not respond, and the last request that used any.
     ReportUnconfirmedUsage {
         plan: usize,
         last_request: QuotaRequestId,
-        cost: f64,
+        cost: Tokens,
     },
     /// To the owner: the permit is still in use.
     RenewPermit { plan: usize, permit: QuotaRequestId },
@@ -121,7 +121,7 @@
 }
 
 impl GossipMessage {
-    /// The plan of a message to the owner; `None` for its response.
+    /// The plan of a message to the owner; `None` for the owner's response.
     pub(crate) fn plan(&self) -> Option<usize> {
         match *self {
             GossipMessage::RequestQuota { plan, .. }
--- /dev/null
+++ b/src/decisions/quota/client/fallback_quota.rs
@@ -0,0 +1,77 @@
+//! The fallback quota: what a gateway may use of a tenant's quota while the owner does not respond.
+//!
+//! It is called safe capacity in Doorman, where clients use it after their lease has expired.
+
+use crate::decisions::quota::FALLBACK_FRACTION;
+use crate::settings::Plan;
+use crate::statistics::{BucketLimits, TokenBucket};
+use crate::units::{Timestamp, Tokens};
+
+/// An even part of a tenant's quota and of its hard limit for one gateway of the shard.
+pub(super) struct FallbackQuota {
+    quota: TokenBucket,
+    hard_limit: TokenBucket,
+    updated_at: Timestamp,
+}
+
+impl FallbackQuota {
+    /// A full bucket for the quota. The bucket of the hard limit starts empty, since an earlier incarnation of this
+    /// gateway may have spent it.
+    pub(super) fn new(plan: &Plan, now: Timestamp) -> FallbackQuota {
+        FallbackQuota {
+            quota: TokenBucket::with_level(plan.burst),
+            hard_limit: TokenBucket::default(),
+            updated_at: now,
+        }
+    }
+
+    /// Refills both buckets up to now. Without gossip there is no owner that leases a part of the hard limit, so the
+    /// gateways divide all of it.
+    pub(super) fn refill(
+        &mut self,
+        plan: &Plan,
+        shard_size: u32,
+        gossip_enabled: bool,
+        now: Timestamp,
+    ) {
+        let elapsed = now - self.updated_at;
+        self.updated_at = now;
+        let gateways = f64::from(shard_size);
+        let hard_limit_fraction = if gossip_enabled {
+            FALLBACK_FRACTION
+        } else {
+            1.0
+        };
+        let fraction = hard_limit_fraction / gateways;
+        let hard_limit = BucketLimits {
+            tokens_per_second: plan.hard_limit_rate * fraction,
+            burst: plan.hard_limit_burst * fraction,
+        };
+        self.hard_limit.refill(hard_limit, elapsed.as_f64());
+        let quota = BucketLimits {
+            tokens_per_second: plan.refill_rate / gateways,
+            burst: plan.burst / gateways,
+        };
+        self.quota.refill(quota, elapsed.as_f64());
+    }
+
+    /// Whether any tokens of the quota are left.
+    pub(super) fn has_quota(&self) -> bool {
+        self.quota.level() > 0.0
+    }
+
+    /// Charges the quota, into debt where it is used up.
+    pub(super) fn charge_quota(&mut self, cost: Tokens) {
+        self.quota.take(cost.as_f64());
+    }
+
+    /// Whether the hard limit covers the cost of a request.
+    pub(super) fn hard_limit_covers(&self, cost: Tokens) -> bool {
+        Tokens(self.hard_limit.level()) >= cost
+    }
+
+    /// Charges the hard limit.
+    pub(super) fn charge_hard_limit(&mut self, cost: Tokens) {
+        self.hard_limit.take(cost.as_f64());
+    }
+}
--- /dev/null
+++ b/src/decisions/quota/client/unconfirmed_usage.rs
@@ -0,0 +1,55 @@
+//! Usage of requests that were forwarded while the owner of their quota did not respond.
+
+use crate::decisions::gossip::{GossipMessage, QuotaRequestId, TenantKey};
+use crate::decisions::quota::AccountId;
+use crate::units::Tokens;
+use std::collections::BTreeMap;
+
+/// For each tenant the usage that its owner has not been told of yet.
+#[derive(Default)]
+pub(crate) struct UnconfirmedUsage {
+    by_tenant: BTreeMap<TenantKey, Usage>,
+}
+
+struct Usage {
+    account: AccountId,
+    last_request: QuotaRequestId,
+    cost: Tokens,
+}
+
+impl UnconfirmedUsage {
+    /// Adds the cost of a request.
+    pub(crate) fn add(&mut self, account: AccountId, request: QuotaRequestId, cost: Tokens) {
+        let usage = self.by_tenant.entry(account.tenant).or_insert(Usage {
+            account,
+            last_request: request,
+            cost: Tokens::ZERO,
+        });
+        usage.last_request = request;
+        usage.cost += cost;
+    }
+
+    /// Removes all usage. Returns a report for each tenant, in the order of their keys.
+    pub(crate) fn take_reports(
+        &mut self,
+    ) -> impl Iterator<Item = (AccountId, GossipMessage)> + use<> {
+        std::mem::take(&mut self.by_tenant)
+            .into_values()
+            .map(|usage| (usage.account, usage.report()))
+    }
+
+    /// Drops the usage of all other tenants.
+    pub(crate) fn retain(&mut self, is_known: impl Fn(TenantKey) -> bool) {
+        self.by_tenant.retain(|tenant, _| is_known(*tenant));
+    }
+}
+
+impl Usage {
+    fn report(&self) -> GossipMessage {
+        GossipMessage::ReportUnconfirmedUsage {
+            plan: self.account.plan,
+            last_request: self.last_request,
+            cost: self.cost,
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/quota/settlement.rs
@@ -0,0 +1,58 @@
+//! The settlement of usage that differs from what the owner of a quota granted.
+
+use super::AccountId;
+use crate::decisions::gossip::{GossipMessage, QuotaRequestId};
+use crate::settings::Settings;
+use crate::units::{Milliseconds, Tokens};
+
+/// A settlement without a permit may wait this long for a datagram that is sent anyway.
+const MAX_DELAY: Milliseconds = Milliseconds(1000.0);
+
+/// Tokens to charge, or to return where negative, and a permit to release.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Settlement {
+    pub account: AccountId,
+    pub cost: Tokens,
+    pub permit: Option<QuotaRequestId>,
+}
+
+impl Settlement {
+    /// A settlement of tokens only.
+    pub(crate) fn of_tokens(account: AccountId, cost: Tokens) -> Settlement {
+        Settlement {
+            account,
+            cost,
+            permit: None,
+        }
+    }
+
+    /// The release of a permit.
+    pub(crate) fn of_permit(account: AccountId, permit: QuotaRequestId) -> Settlement {
+        Settlement {
+            account,
+            cost: Tokens::ZERO,
+            permit: Some(permit),
+        }
+    }
+
+    /// How long the message to the owner may wait for a datagram; `None` if there is nothing to tell the owner.
+    pub(crate) fn max_delay(&self, settings: &Settings) -> Option<Milliseconds> {
+        let has_quota = settings.plans[self.account.plan].refill_rate > 0.0;
+        if self.permit.is_some() {
+            Some(Milliseconds::ZERO)
+        } else if self.cost != Tokens::ZERO && has_quota {
+            Some(MAX_DELAY)
+        } else {
+            None
+        }
+    }
+
+    /// The message to the owner.
+    pub(crate) fn message(&self) -> GossipMessage {
+        GossipMessage::SettleUsage {
+            plan: self.account.plan,
+            cost: self.cost,
+            permit: self.permit,
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/requests/mod.rs
@@ -0,0 +1,11 @@
+//! The requests that a gateway is responsible for: those that wait for their quota, and those that are in flight.
+
+mod in_flight;
+mod pending;
+mod received;
+mod table;
+
+pub(crate) use in_flight::InFlightRequest;
+pub(crate) use pending::{PendingRequest, QuotaGrant, WaitState};
+pub(crate) use received::ReceivedRequest;
+pub(crate) use table::RequestTable;
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,10 +1,11 @@
 //! The decision engine of one gateway: takes in events, hands them to the decisions, and returns the actions.
 
-use crate::decisions::Decisions;
+use crate::decisions::gossip::{GossipMessage, PermitId, TenantKey, decode};
+use crate::decisions::quota::AccountId;
+use crate::decisions::{Decisions, TimerPurpose};
 use crate::events::{Action, Event, GatewayId};
-use crate::gossip::{GossipMessage, PermitId, TenantKey, decode};
-use crate::records::{AccountId, TimerPurpose};
 use crate::settings::{Settings, SettingsError};
+use crate::units::Timestamp;
 use std::sync::Arc;
 
 /// The decisions of one gateway, driven by events. It does no input or output and reads no clock.
@@ -12,7 +13,7 @@
     decisions: Decisions,
     gateway: GatewayId,
     plan_count: usize,
-    now_ms: f64,
+    now: Timestamp,
 }
 
 impl DecisionEngine {
@@ -25,7 +26,7 @@
         Ok(DecisionEngine {
             gateway: settings.gateway,
             plan_count: settings.plans.len(),
-            now_ms: 0.0,
+            now: Timestamp::ZERO,
             decisions: Decisions::new(Arc::new(settings), seed),
         })
     }
@@ -33,8 +34,8 @@
     /// Takes in one event, at this time in milliseconds, and returns what is to be done, in that order. The time
     /// never runs backwards: an earlier one than that of the last event counts as the same.
     pub fn handle_event(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
-        self.now_ms = self.now_ms.max(now_ms);
-        self.decisions.set_time(self.now_ms);
+        self.now = self.now.max(Timestamp(now_ms));
+        self.decisions.set_time(self.now);
         match event {
             Event::EndpointsChanged { kind, endpoints } => {
                 self.decisions.on_endpoints_changed(kind, endpoints);
@@ -56,7 +57,7 @@
 
     fn on_gossip(&mut self, from: GatewayId, text: &str) {
         self.decisions.report_unconfirmed_usage();
-        for (tenant, message) in decode(text, from, self.now_ms) {
+        for (tenant, message) in decode(text, from, self.now) {
             match message {
                 GossipMessage::QuotaResponse {
                     request,
@@ -86,24 +87,22 @@
             request,
         };
         match message {
-            GossipMessage::RequestQuota {
-                request, demand, ..
-            } => {
-                self.decisions.on_quota_request(account, request, demand);
+            GossipMessage::RequestQuota { request, .. } => {
+                self.decisions.on_quota_request(account, request);
             }
             GossipMessage::SettleUsage { cost, permit, .. } => {
-                self.decisions
-                    .settle_owned(account, cost, permit.map(permit_of));
+                let permit = permit.map(permit_of);
+                self.decisions.on_settlement(account, cost, permit);
             }
             GossipMessage::ReportUnconfirmedUsage {
                 last_request, cost, ..
             } => {
-                let ledger = self.decisions.owned(account);
-                ledger.charge_unconfirmed(permit_of(last_request), cost);
+                let last_request = permit_of(last_request);
+                self.decisions
+                    .on_unconfirmed_usage(account, last_request, cost);
             }
             GossipMessage::RenewPermit { permit, .. } => {
-                self.decisions.owned(account);
-                self.decisions.renew_owned(account, permit_of(permit));
+                self.decisions.on_permit_renewal(account, permit_of(permit));
             }
             GossipMessage::QuotaResponse { .. } => {}
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,7 +60,6 @@
 mod engine;
 mod events;
 pub mod gateway;
-mod gossip;
 mod records;
 mod settings;
 mod settings_document;
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,32 +1,34 @@
-//! Storage for the decision engine: tables, pools and queues that hold what the decisions need and decide nothing.
-//!
-//! What to store, for how long, and what follows from it is chosen in [`crate::decisions`], which passes it in.
+//! Records that the components of the decision engine share.
 
-mod action_sink;
-mod bounded_history;
-mod client_ledger;
-mod expiring_map;
-mod gossip_outbox;
-mod owner_ledger;
-mod permit_pool;
-mod quota;
-mod request_table;
-mod requests;
-mod tenants;
-mod unconfirmed_usage;
+use crate::settings::DeduplicationScope;
 
-pub(crate) use action_sink::{ActionSink, TimerPurpose};
-use bounded_history::BoundedHistory;
-pub(crate) use client_ledger::{ClientLedger, ReceivedState};
-use expiring_map::ExpiringMap;
-pub(crate) use gossip_outbox::OutboxLimits;
-pub(crate) use owner_ledger::{OwnerLedger, OwnerLedgerParameters};
-use permit_pool::PermitPool;
-pub(crate) use quota::{ClientTerms, LeasePlan, LocalPermits, OwnerTerms};
-pub(crate) use request_table::RequestTable;
-pub(crate) use requests::{
-    AccountId, Authorization, InFlightRequest, PendingRequest, PossibleExecution, PriorityTier,
-    RetryScope, WaitingFor,
-};
-pub(crate) use tenants::{Tenant, Tenants};
-pub(crate) use unconfirmed_usage::UnconfirmedUsage;
+/// A tier of priority, counted from the highest, 0.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PriorityTier(pub usize);
+
+/// The endpoints on which a request may be attempted.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum RetryScope {
+    Anywhere,
+    /// Those that drop a repeat of what ran there.
+    Within(DeduplicationScope, PossibleExecution),
+}
+
+impl RetryScope {
+    /// Whether endpoints of this zone and cell are in the scope.
+    pub(crate) fn includes(&self, zone: u32, cell: u32) -> bool {
+        match self {
+            RetryScope::Within(DeduplicationScope::Zone, first) => zone == first.zone,
+            RetryScope::Within(DeduplicationScope::Cell, first) => cell == first.cell,
+            RetryScope::Within(DeduplicationScope::All, _) | RetryScope::Anywhere => true,
+        }
+    }
+}
+
+/// An attempt that an endpoint may have executed.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct PossibleExecution {
+    pub zone: u32,
+    pub cell: u32,
+    pub sent_at_ms: f64,
+}
