--- a/src/decisions/actions.rs
+++ b/src/decisions/actions.rs
@@ -43,7 +43,7 @@
         self.actions.push(Action::Forward {
             request,
             endpoint,
-            deadline_ms: deadline.as_f64(),
+            deadline,
         });
     }
 
@@ -51,7 +51,7 @@
     pub(crate) fn reject(&mut self, request: RequestId, retry_after: Milliseconds) {
         self.actions.push(Action::Reject {
             request,
-            retry_after_ms: retry_after.as_f64(),
+            retry_after,
         });
     }
 
@@ -73,7 +73,7 @@
     fn set_timer(&mut self, token: TimerToken, delay: Milliseconds) {
         self.actions.push(Action::SetTimer {
             token,
-            delay_ms: delay.as_f64(),
+            delay,
         });
     }
 
--- a/src/decisions/gossip/codec.rs
+++ b/src/decisions/gossip/codec.rs
@@ -1,7 +1,7 @@
 //! The text form of gossip messages. Numbers have one decimal; keys and request numbers are hexadecimal.
 
 use super::{GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey};
-use crate::events::GatewayId;
+use crate::events::{GatewayId, PlanIndex};
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
 /// Numbers of this magnitude or more are rejected: no gateway sends them, so the datagram is damaged.
@@ -39,7 +39,7 @@
     }
 }
 
-fn encode_request(key: u64, plan: usize, request: &QuotaRequest, now: Timestamp) -> String {
+fn encode_request(key: u64, plan: PlanIndex, request: &QuotaRequest, now: Timestamp) -> String {
     let kind = if request.needs_permit { 'p' } else { 'a' };
     let QuotaRequest {
         id: QuotaRequestId(number),
@@ -88,20 +88,20 @@
     // The plan, except in a response, where it is the decision.
     let code: usize = fields.0.get(2)?.parse().ok()?;
     let message = match fields.0[0] {
-        "a" => decode_request(&fields, false, code, from, now)?,
-        "p" => decode_request(&fields, true, code, from, now)?,
+        "a" => decode_request(&fields, false, PlanIndex(code), from, now)?,
+        "p" => decode_request(&fields, true, PlanIndex(code), from, now)?,
         "t" => GossipMessage::SettleUsage {
-            plan: code,
+            plan: PlanIndex(code),
             cost: Tokens(fields.signed_number(4)?),
             permit: fields.request_id(3),
         },
         "u" => GossipMessage::ReportUnconfirmedUsage {
-            plan: code,
+            plan: PlanIndex(code),
             last_request: fields.request_id(3)?,
             cost: Tokens(fields.number(4)?),
         },
         "k" => GossipMessage::RenewPermit {
-            plan: code,
+            plan: PlanIndex(code),
             permit: fields.request_id(3)?,
         },
         "g" => decode_response(&fields, code)?,
@@ -113,7 +113,7 @@
 fn decode_request(
     fields: &Fields,
     needs_permit: bool,
-    plan: usize,
+    plan: PlanIndex,
     gateway: GatewayId,
     now: Timestamp,
 ) -> Option<GossipMessage> {
--- a/src/decisions/gossip/messages.rs
+++ b/src/decisions/gossip/messages.rs
@@ -1,6 +1,6 @@
 //! The typed messages that gateways exchange about the quota of a tenant.
 
-use crate::events::GatewayId;
+use crate::events::{GatewayId, PlanIndex};
 use crate::units::{Timestamp, Tokens, TokensPerSecond};
 use fnv::FnvHasher;
 use std::hash::Hasher;
@@ -16,12 +16,12 @@
 
 impl TenantKey {
     /// The key of a tenant on a plan.
-    pub(crate) fn new(name: &str, plan: usize) -> TenantKey {
+    pub(crate) fn new(name: &str, plan: PlanIndex) -> TenantKey {
         let mut hasher = FnvHasher::default();
         hasher.write(name.as_bytes());
         let hash = hasher.finish();
         let name_hash = (hash ^ (hash >> NAME_BITS)) & NAME_MASK;
-        TenantKey(name_hash | (plan as u64) << NAME_BITS)
+        TenantKey(name_hash | (plan.0 as u64) << NAME_BITS)
     }
 
     /// The hash of the tenant's name, which is the same for all its plans.
@@ -97,21 +97,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipMessage {
     /// To the owner: a quota request.
-    RequestQuota { plan: usize, request: QuotaRequest },
+    RequestQuota { plan: PlanIndex, request: QuotaRequest },
     /// To the owner: tokens to charge, or to return where negative, and a permit to release.
     SettleUsage {
-        plan: usize,
+        plan: PlanIndex,
         cost: Tokens,
         permit: Option<QuotaRequestId>,
     },
     /// To the owner: tokens used while it did not respond, and the last request that used any.
     ReportUnconfirmedUsage {
-        plan: usize,
+        plan: PlanIndex,
         last_request: QuotaRequestId,
         cost: Tokens,
     },
     /// To the owner: the permit is still in use.
-    RenewPermit { plan: usize, permit: QuotaRequestId },
+    RenewPermit { plan: PlanIndex, permit: QuotaRequestId },
     /// From the owner: its decision on a request.
     QuotaResponse {
         request: QuotaRequestId,
@@ -122,7 +122,7 @@
 
 impl GossipMessage {
     /// The plan of a message to the owner; `None` for the owner's response.
-    pub(crate) fn plan(&self) -> Option<usize> {
+    pub(crate) fn plan(&self) -> Option<PlanIndex> {
         match *self {
             GossipMessage::RequestQuota { plan, .. }
             | GossipMessage::SettleUsage { plan, .. }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -131,7 +131,7 @@
         };
         self.retry_budget.earn(RETRIES_PER_REQUEST);
         let account = AccountId::of(&request, self.settings.gateway_count);
-        let class = &self.settings.classes[request.class];
+        let class = self.settings.class(request.class);
         let id = self.requests.next_id();
         let received = ReceivedRequest::new(request, account, tier, id, class, self.now);
         let (request, conditions) = (&received.request, self.conditions());
@@ -305,7 +305,7 @@
     ) {
         let (id, account) = (received.request.id, received.account);
         self.quotas.start_request(account, hard_limit_cost);
-        let limits_concurrency = self.settings.plans[account.plan].max_concurrency > 0;
+        let limits_concurrency = self.settings.plan(account.plan).max_concurrency > 0;
         if limits_concurrency && grant.permit() == Some(received.quota_request) {
             self.set_renewal_timer(received.quota_request);
         }
@@ -361,7 +361,7 @@
         );
         let difference = outcome
             .actual_cost
-            .map_or(Tokens::ZERO, |actual| Tokens(actual) - received.cost());
+            .map_or(Tokens::ZERO, |actual| actual - received.cost());
         self.settle(Settlement::of_tokens(account, difference));
         if client_disconnected {
             self.finish(id);
@@ -384,7 +384,7 @@
     fn retry_endpoint(&mut self, outcome: &AttemptOutcome) -> Option<EndpointName> {
         let request = self.requests.in_flight(outcome.request)?;
         let received = &request.received;
-        let class = &self.settings.classes[received.request.class];
+        let class = self.settings.class(received.request.class);
         let scope = retry_scope(class, request.first_execution, self.now.as_f64())?;
         let max_attempts = self.settings.max_attempts;
         let exhausted = max_attempts > 0 && request.attempts >= max_attempts;
@@ -409,7 +409,7 @@
     /// The final answer to a request whose attempts have failed.
     fn answer_failed_request(&mut self, request: &InFlightRequest) {
         let client_request = &request.received.request;
-        let class = &self.settings.classes[client_request.class];
+        let class = self.settings.class(client_request.class);
         if request.first_execution.is_none() || client_may_repeat(class) {
             self.reject(client_request);
         } else {
@@ -428,7 +428,7 @@
                 self.admit(next.received, grant);
             }
         } else if let Some(permit) = request.grant.permit()
-            && self.settings.plans[account.plan].max_concurrency > 0
+            && self.settings.plan(account.plan).max_concurrency > 0
         {
             self.transfer_permit(account, permit);
         }
--- a/src/decisions/quota/account.rs
+++ b/src/decisions/quota/account.rs
@@ -1,13 +1,13 @@
 //! Which account a request is charged to, and which gateway owns the account.
 
 use crate::decisions::gossip::TenantKey;
-use crate::events::{GatewayId, Request};
+use crate::events::{GatewayId, PlanIndex, Request};
 
 /// The account of a tenant on a plan, and the gateway that owns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AccountId {
     pub tenant: TenantKey,
-    pub plan: usize,
+    pub plan: PlanIndex,
     pub owner: GatewayId,
 }
 
--- a/src/decisions/quota/client/fallback_quota.rs
+++ b/src/decisions/quota/client/fallback_quota.rs
@@ -19,7 +19,7 @@
     /// gateway may have spent it.
     pub(super) fn new(plan: &Plan, now: Timestamp) -> FallbackQuota {
         FallbackQuota {
-            quota: TokenBucket::with_level(plan.burst),
+            quota: TokenBucket::with_level(plan.burst.0),
             hard_limit: TokenBucket::default(),
             updated_at: now,
         }
@@ -44,13 +44,13 @@
         };
         let fraction = hard_limit_fraction / gateways;
         let hard_limit = BucketLimits {
-            tokens_per_second: plan.hard_limit_rate * fraction,
-            burst: plan.hard_limit_burst * fraction,
+            tokens_per_second: plan.hard_limit_rate.0 * fraction,
+            burst: plan.hard_limit_burst.0 * fraction,
         };
         self.hard_limit.refill(hard_limit, elapsed.as_f64());
         let quota = BucketLimits {
-            tokens_per_second: plan.refill_rate / gateways,
-            burst: plan.burst / gateways,
+            tokens_per_second: plan.refill_rate.0 / gateways,
+            burst: plan.burst.0 / gateways,
         };
         self.quota.refill(quota, elapsed.as_f64());
     }
--- a/src/decisions/quota/client/mod.rs
+++ b/src/decisions/quota/client/mod.rs
@@ -106,8 +106,8 @@
         conditions: Conditions,
     ) -> LeaseDecision {
         let Conditions { now, mean_latency } = conditions;
-        let plan = &settings.plans[account.plan];
-        let cost = Tokens(request.cost);
+        let plan = settings.plan(account.plan);
+        let cost = request.cost;
         let shard_size = shard_size(request, settings.gateway_count);
         self.fallback
             .refill(plan, shard_size, settings.gossip_enabled, now);
@@ -198,7 +198,7 @@
             Some(ReceivedState { state, .. }) => state.demand * draw <= state.granted,
             None => self.fallback.has_quota(),
         };
-        self.fallback.charge_quota(Tokens(request.cost));
+        self.fallback.charge_quota(request.cost);
         let gateways = f64::from(request.shard_size.max(1));
         let permits = f64::from(plan.max_concurrency) / gateways;
         let in_flight = f64::from(self.permits.in_flight());
@@ -268,8 +268,8 @@
     needs_permit: bool,
     mean_latency: Milliseconds,
 ) -> TokensPerSecond {
-    let refill_rate = if plan.refill_rate > 0.0 {
-        TokensPerSecond(plan.refill_rate)
+    let refill_rate = if plan.refill_rate > TokensPerSecond::ZERO {
+        plan.refill_rate
     } else {
         TokensPerSecond::INFINITY
     };
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -62,14 +62,14 @@
         request: &Request,
         draw: f64,
     ) -> bool {
-        let plan = &self.settings.plans[account.plan];
+        let plan = self.settings.plan(account.plan);
         let Some(tenant) = self.tenants.get_mut(account.tenant) else {
             return false;
         };
         if !tenant.client.admits_unconfirmed(request, plan, draw) {
             return false;
         }
-        let cost = Tokens(request.cost * plan.over_quota_penalty.min(1.0));
+        let cost = request.cost * plan.over_quota_penalty.min(1.0);
         if self.settings.gossip_enabled && cost > Tokens::ZERO {
             self.unconfirmed_usage.add(account, id, cost);
         }
@@ -127,7 +127,7 @@
         if client.is_some_and(QuotaClient::local_permits_used_up) {
             return LocalCheck::NoFreePermit;
         }
-        let has_hard_limit = self.settings.plans[account.plan].hard_limit_rate > 0.0;
+        let has_hard_limit = self.settings.plan(account.plan).hard_limit_rate > TokensPerSecond::ZERO;
         if !has_hard_limit || covered && self.settings.gossip_enabled {
             let hard_limit_cost = Tokens::ZERO;
             return LocalCheck::Passed { hard_limit_cost };
@@ -165,7 +165,7 @@
 
     /// Whether the gateways of the account's shard share the permits of its plan.
     pub(crate) fn shares_permits(&self, account: AccountId) -> bool {
-        let limits_concurrency = self.settings.plans[account.plan].max_concurrency > 0;
+        let limits_concurrency = self.settings.plan(account.plan).max_concurrency > 0;
         limits_concurrency && self.local_permit_limit(account).is_none()
     }
 
@@ -173,9 +173,9 @@
     /// where the tokens that the request needs will not be available within its latency objective: for a shorter
     /// time the client's own backoff serves better.
     pub(crate) fn retry_after(&self, request: &Request, now: Timestamp) -> Milliseconds {
-        let class = self.settings.classes.get(request.class);
+        let class = self.settings.classes.get(request.class.0);
         let objective = class.map_or(Milliseconds::ZERO, |class| {
-            Milliseconds(class.latency_objective_ms)
+            class.latency_objective
         });
         match self.tokens_available_in(request, now) {
             Some(available_in) if available_in > objective => available_in.ceil(),
@@ -188,9 +188,9 @@
     fn tokens_available_in(&self, request: &Request, now: Timestamp) -> Option<Milliseconds> {
         let key = TenantKey::new(&request.tenant, request.plan);
         let tenant = self.tenants.get(key)?;
-        let refill_rate = TokensPerSecond(self.settings.plans[tenant.plan].refill_rate);
+        let refill_rate = self.settings.plan(tenant.plan).refill_rate;
         let known = tenant.known_tokens();
-        let missing = Tokens(request.cost) - known.tokens;
+        let missing = request.cost - known.tokens;
         let available_at = known.as_of + missing.time_at(refill_rate);
         (refill_rate > TokensPerSecond::ZERO).then(|| available_at - now)
     }
--- a/src/decisions/quota/owner/ledger.rs
+++ b/src/decisions/quota/owner/ledger.rs
@@ -31,7 +31,7 @@
     pub(super) fn new(plan: &Plan, now: Timestamp) -> TokenLedger {
         TokenLedger {
             updated_at: now,
-            bucket: TokenBucket::with_level(plan.burst),
+            bucket: TokenBucket::with_level(plan.burst.0),
             overflow: Tokens::ZERO,
             hard_limit: TokenBucket::default(),
             demand: TokensPerSecond::ZERO,
@@ -68,16 +68,16 @@
         let elapsed = now - self.updated_at;
         self.updated_at = now;
         let limits = BucketLimits {
-            tokens_per_second: plan.refill_rate,
-            burst: plan.burst,
+            tokens_per_second: plan.refill_rate.0,
+            burst: plan.burst.0,
         };
         let refill = self.bucket.refill(limits, elapsed.as_f64());
         let decay = exponential_decay(elapsed.as_f64(), DEMAND_WINDOW.as_f64());
         self.overflow =
             self.overflow * decay + Tokens(refill.unlimited_level) - Tokens(refill.level);
         let leased = BucketLimits {
-            tokens_per_second: LEASED_RATE_FRACTION * plan.hard_limit_rate,
-            burst: LEASED_BURST_FRACTION * plan.hard_limit_burst,
+            tokens_per_second: LEASED_RATE_FRACTION * plan.hard_limit_rate.0,
+            burst: LEASED_BURST_FRACTION * plan.hard_limit_burst.0,
         };
         self.hard_limit.refill(leased, elapsed.as_f64());
         self.demand *= decay;
@@ -98,7 +98,7 @@
 
     /// Charges tokens that were used without a grant, or takes unused ones back (`cost` negative).
     pub(super) fn settle(&mut self, cost: Tokens, plan: &Plan) {
-        self.bucket.settle(cost.as_f64(), plan.burst);
+        self.bucket.settle(cost.as_f64(), plan.burst.0);
     }
 
     /// Charges tokens that a gateway used while the owner did not respond. They are taken from the tokens that
@@ -111,7 +111,7 @@
 
     /// Whether the bucket holds the cost of a request and `reserve` beside it. A full bucket covers any request.
     pub(super) fn covers(&self, cost: Tokens, reserve: Tokens, plan: &Plan) -> bool {
-        let needed = (cost + reserve).min(Tokens(plan.burst));
-        plan.refill_rate <= 0.0 || self.tokens() >= needed
+        let needed = (cost + reserve).min(plan.burst);
+        plan.refill_rate <= TokensPerSecond::ZERO || self.tokens() >= needed
     }
 }
--- a/src/decisions/quota/owner/mod.rs
+++ b/src/decisions/quota/owner/mod.rs
@@ -12,7 +12,7 @@
 use crate::decisions::gossip::{OwnerState, PermitId, QuotaDecision, QuotaRequest};
 use crate::decisions::quota::Conditions;
 use crate::settings::{Plan, Settings};
-use crate::units::{Milliseconds, Timestamp, Tokens};
+use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 use bounded_history::BoundedHistory;
 use ledger::TokenLedger;
 use permit_pool::PermitPool;
@@ -98,7 +98,7 @@
             return QuotaDecision::Queued;
         }
         self.ledger.record_demand(request.demand);
-        let leasable = if plan.hard_limit_rate > 0.0 && gossip_enabled {
+        let leasable = if plan.hard_limit_rate > TokensPerSecond::ZERO && gossip_enabled {
             self.ledger.leasable()
         } else {
             Tokens::INFINITY
@@ -146,7 +146,7 @@
             && let Some(request) = self.queue.pop_front()
         {
             let cost = request.cost;
-            let over_hard_limit = plan.hard_limit_rate > 0.0 && self.ledger.leasable() < cost;
+            let over_hard_limit = plan.hard_limit_rate > TokensPerSecond::ZERO && self.ledger.leasable() < cost;
             let decision = if over_hard_limit || !self.ledger.covers(cost, reserve, plan) {
                 QuotaDecision::Denied
             } else {
@@ -204,5 +204,5 @@
 pub(super) fn bucket_reserve(settings: &Settings, plan: &Plan) -> Tokens {
     let largest_fraction = BUCKET_RESERVE_FRACTION * fleet_scale(settings);
     let penalty = plan.over_quota_penalty.min(1.0);
-    Tokens(largest_fraction * settings.max_request_cost * penalty)
+    settings.max_request_cost * largest_fraction * penalty
 }
--- a/src/decisions/quota/owner_side.rs
+++ b/src/decisions/quota/owner_side.rs
@@ -14,7 +14,7 @@
         conditions: Conditions,
         rng: &mut impl Rng,
     ) -> Vec<QueuedDecision> {
-        let plan = &self.settings.plans[account.plan];
+        let plan = self.settings.plan(account.plan);
         let reserve = bucket_reserve(&self.settings, plan);
         let owner = self
             .tenants
@@ -32,8 +32,8 @@
         let Some(tenant) = self.tenants.get_mut(account.tenant) else {
             return QuotaDecision::Denied;
         };
-        let plan = &self.settings.plans[tenant.plan];
-        let reserve = bucket_reserve(&self.settings, &self.settings.plans[account.plan]);
+        let plan = self.settings.plan(tenant.plan);
+        let reserve = bucket_reserve(&self.settings, self.settings.plan(account.plan));
         let gossip_enabled = self.settings.gossip_enabled;
         tenant
             .owner
@@ -49,7 +49,7 @@
         conditions: Conditions,
         rng: &mut impl Rng,
     ) -> Vec<QueuedDecision> {
-        let plan = &self.settings.plans[account.plan];
+        let plan = self.settings.plan(account.plan);
         let reserve = bucket_reserve(&self.settings, plan);
         let owner = self
             .tenants
@@ -93,7 +93,7 @@
         now: Timestamp,
     ) {
         if let Some(tenant) = self.tenants.get_mut(account.tenant) {
-            let plan = &self.settings.plans[tenant.plan];
+            let plan = self.settings.plan(tenant.plan);
             tenant.owner.renew_permit(permit, plan, now);
         }
     }
--- a/src/decisions/quota/settlement.rs
+++ b/src/decisions/quota/settlement.rs
@@ -3,7 +3,7 @@
 use super::AccountId;
 use crate::decisions::gossip::{GossipMessage, QuotaRequestId};
 use crate::settings::Settings;
-use crate::units::{Milliseconds, Tokens};
+use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
 /// A settlement without a permit may wait this long for a datagram that is sent anyway.
 const MAX_DELAY: Milliseconds = Milliseconds(1000.0);
@@ -37,7 +37,7 @@
 
     /// How long the message to the owner may wait for a datagram; `None` if there is nothing to tell the owner.
     pub(crate) fn max_delay(&self, settings: &Settings) -> Option<Milliseconds> {
-        let has_quota = settings.plans[self.account.plan].refill_rate > 0.0;
+        let has_quota = settings.plan(self.account.plan).refill_rate > TokensPerSecond::ZERO;
         if self.permit.is_some() {
             Some(Milliseconds::ZERO)
         } else if self.cost != Tokens::ZERO && has_quota {
--- a/src/decisions/quota/tenants.rs
+++ b/src/decisions/quota/tenants.rs
@@ -3,6 +3,7 @@
 use super::permit_lease::permit_lease;
 use super::{AccountId, Conditions, ExpiringMap, QuotaClient, QuotaOwner};
 use crate::decisions::gossip::TenantKey;
+use crate::events::PlanIndex;
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp, Tokens};
 use rand::Rng;
@@ -15,7 +16,7 @@
 /// A tenant on one plan. The client's side is used for its requests at this gateway, and the owner's side if this
 /// gateway owns the quota.
 pub(super) struct Tenant {
-    pub plan: usize,
+    pub plan: PlanIndex,
     pub owner: QuotaOwner,
     pub client: QuotaClient,
 }
@@ -37,7 +38,7 @@
 
     /// Whether the gateways of the tenant's shard share the permits of its plan.
     pub(super) fn shares_permits(&self, settings: &Settings) -> bool {
-        settings.plans[self.plan].max_concurrency > 0 && self.client.local_permit_limit().is_none()
+        settings.plan(self.plan).max_concurrency > 0 && self.client.local_permit_limit().is_none()
     }
 }
 
@@ -61,7 +62,7 @@
     ) -> &mut Tenant {
         // Drawn for known tenants too: decisions are reproducible only with the same sequence of draws.
         let poll_credit = rng.random::<f64>();
-        let plan = &settings.plans[account.plan];
+        let plan = settings.plan(account.plan);
         self.0.touch(account.tenant, now, || Tenant {
             plan: account.plan,
             owner: QuotaOwner::new(plan, now),
@@ -80,7 +81,7 @@
     ) -> &mut QuotaOwner {
         let Conditions { now, mean_latency } = conditions;
         let tenant = self.touch(account, settings, now, rng);
-        let plan = &settings.plans[tenant.plan];
+        let plan = settings.plan(tenant.plan);
         tenant.owner.advance(plan, permit_lease(mean_latency), now);
         &mut tenant.owner
     }
--- a/src/decisions/requests/received.rs
+++ b/src/decisions/requests/received.rs
@@ -40,8 +40,8 @@
         class: &RequestClass,
         now: Timestamp,
     ) -> ReceivedRequest {
-        let latency_objective = Milliseconds(class.latency_objective_ms);
-        let client_deadline = Timestamp(request.client_deadline_ms);
+        let latency_objective = class.latency_objective;
+        let client_deadline = request.client_deadline;
         let client_wait =
             (client_deadline - now).max(Milliseconds::ZERO) * MAX_CLIENT_WAIT_FRACTION;
         let max_wait = (latency_objective * MAX_WAIT_FRACTION).min(client_wait);
@@ -66,13 +66,13 @@
 
     /// The cost of the request.
     pub(crate) fn cost(&self) -> Tokens {
-        Tokens(self.request.cost)
+        self.request.cost
     }
 
     /// When the latency objective of the request ends, or its client stops waiting if that is earlier.
     pub(crate) fn objective_deadline(&self) -> Timestamp {
         let objective_ends_at = self.arrived_at + self.latency_objective;
-        objective_ends_at.min(Timestamp(self.request.client_deadline_ms))
+        objective_ends_at.min(self.request.client_deadline)
     }
 
     /// Whether an answer now is within the latency objective.
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,5 +1,6 @@
 //! Records that the components of the decision engine share.
 
+use crate::events::{CellId, ZoneId};
 use crate::settings::DeduplicationScope;
 
 /// A tier of priority, counted from the highest, 0.
@@ -16,7 +17,7 @@
 
 impl RetryScope {
     /// Whether endpoints of this zone and cell are in the scope.
-    pub(crate) fn includes(&self, zone: u32, cell: u32) -> bool {
+    pub(crate) fn includes(&self, zone: ZoneId, cell: CellId) -> bool {
         match self {
             RetryScope::Within(DeduplicationScope::Zone, first) => zone == first.zone,
             RetryScope::Within(DeduplicationScope::Cell, first) => cell == first.cell,
@@ -28,7 +29,7 @@
 /// An attempt that an endpoint may have executed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PossibleExecution {
-    pub zone: u32,
-    pub cell: u32,
+    pub zone: ZoneId,
+    pub cell: CellId,
     pub sent_at_ms: f64,
 }
