--- a/src/decisions/quota/account.rs
+++ b/src/decisions/account.rs
@@ -14,8 +14,8 @@
 impl AccountId {
     /// The account that a request is charged to, in a fleet of this many gateways.
     ///
-    /// The owner is one gateway of the tenant's shard. The name of the tenant alone selects it, so one gateway owns
-    /// the accounts of all plans of a tenant.
+    /// The owner is one gateway of the tenant's shard. The name of the tenant alone selects it, so one
+    /// gateway owns the accounts of all plans of a tenant.
     pub(crate) fn of(request: &Request, gateway_count: u32) -> AccountId {
         let tenant = TenantKey::new(&request.tenant, request.plan);
         let shard_size = u64::from(shard_size(request, gateway_count));
@@ -28,7 +28,8 @@
     }
 }
 
-/// The number of gateways that serve the tenant of a request: the whole fleet if the request does not state it.
+/// The number of gateways that serve the tenant of a request: the whole fleet if the request does not state
+/// it.
 pub(crate) fn shard_size(request: &Request, gateway_count: u32) -> u32 {
     if request.shard_size == 0 {
         gateway_count
--- a/src/decisions/gossip/codec.rs
+++ b/src/decisions/gossip/codec.rs
@@ -11,8 +11,8 @@
 const GRANTED: u8 = 1;
 const QUEUED: u8 = 2;
 
-/// The text of a message. In place of the time at which a request expires it holds the duration until then, because
-/// the clocks of gateways differ.
+/// The text of a message. In place of the time at which a request expires it holds the duration until then,
+/// because the clocks of gateways differ.
 pub(super) fn encode(tenant: TenantKey, message: &GossipMessage, now: Timestamp) -> String {
     let key = tenant.0;
     match *message {
--- a/src/decisions/gossip/messages.rs
+++ b/src/decisions/gossip/messages.rs
@@ -9,8 +9,8 @@
 const NAME_BITS: u32 = 40;
 const NAME_MASK: u64 = (1 << NAME_BITS) - 1;
 
-/// A tenant and its plan: 40 bits of the FNV-1a hash of the name, and the plan's number above them. Each plan of a
-/// tenant has an account of its own, so that requests on one plan do not use up the quota of another.
+/// A tenant and its plan: 40 bits of the FNV-1a hash of the name, and the plan's number above them. Each plan
+/// of a tenant has an account of its own, so that requests on one plan do not use up the quota of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TenantKey(pub u64);
 
@@ -34,7 +34,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct QuotaRequestId(pub u64);
 
-/// A granted quota request, identified in the whole fleet. Where the plan limits concurrency, it is a permit as well.
+/// A granted quota request, identified in the whole fleet. Where the plan limits concurrency, it is a permit
+/// as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PermitId {
     pub gateway: GatewayId,
@@ -75,7 +76,8 @@
     Denied,
     /// The request may be forwarded.
     Granted {
-        /// The tokens that are granted, those leased in advance among them; 0 where the request was granted before.
+        /// The tokens that are granted, those leased in advance among them; 0 where the request was granted
+        /// before.
         cost: Tokens,
     },
     /// The request waits for a permit.
@@ -97,7 +99,10 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipMessage {
     /// To the owner: a quota request.
-    RequestQuota { plan: PlanIndex, request: QuotaRequest },
+    RequestQuota {
+        plan: PlanIndex,
+        request: QuotaRequest,
+    },
     /// To the owner: tokens to charge, or to return where negative, and a permit to release.
     SettleUsage {
         plan: PlanIndex,
@@ -111,7 +116,10 @@
         cost: Tokens,
     },
     /// To the owner: the permit is still in use.
-    RenewPermit { plan: PlanIndex, permit: QuotaRequestId },
+    RenewPermit {
+        plan: PlanIndex,
+        permit: QuotaRequestId,
+    },
     /// From the owner: its decision on a request.
     QuotaResponse {
         request: QuotaRequestId,
--- a/src/decisions/gossip/outbox.rs
+++ b/src/decisions/gossip/outbox.rs
@@ -1,24 +1,28 @@
-//! Gossip that waits to be sent: one datagram for each peer, filled until it is due, and sent at a limited rate.
+//! Gossip that waits to be sent: one datagram for each peer, filled until it is due, and sent at a limited
+//! rate.
 //!
-//! A peer drops what exceeds its intake, so the outbox paces the datagrams of this gateway to a fraction of it.
+//! A peer drops what exceeds its intake, so the outbox paces the datagrams of this gateway to a fraction of
+//! it.
 
 use super::codec::encode;
 use super::{GossipMessage, TenantKey};
 use crate::decisions::fleet_scale::fleet_scale;
-use crate::events::GatewayId;
+use crate::events::{Action, GatewayId};
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
 /// The fraction of a peer's intake that the datagrams of one gateway may use in a small fleet.
 const INTAKE_FRACTION: f64 = 0.75;
-/// A gateway of a large fleet may send this many times as much, since its datagrams go to that many more peers.
+/// A gateway of a large fleet may send this many times as much, since its datagrams go to that many more
+/// peers.
 const LARGE_FLEET_INTAKE_MULTIPLE: f64 = 4.0;
 /// The datagrams that may be sent at once are those of this time at the permitted rate.
 const BURST_SECONDS: f64 = 0.1;
 /// The greatest length of a datagram, in bytes. Peers drop longer ones.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The shortest delay of the timer, and the least time by which a timer that is set is moved to an earlier one.
+/// The shortest delay of the timer, and the least time by which a timer that is set is moved to an earlier
+/// one.
 const TIMER_RESOLUTION: Milliseconds = Milliseconds(1.0);
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
@@ -45,9 +49,15 @@
     text: String,
 }
 
+impl From<Datagram> for Action {
+    fn from(Datagram { to, text }: Datagram) -> Action {
+        Action::SendGossip { to, text }
+    }
+}
+
 impl GossipOutbox {
-    /// An empty outbox. Nothing may be sent before time has passed, since an earlier incarnation of this gateway may
-    /// have used the allowance up.
+    /// An empty outbox. Nothing may be sent before time has passed, since an earlier incarnation of this
+    /// gateway may have used the allowance up.
     pub(crate) fn new(settings: &Settings) -> GossipOutbox {
         let multiple = 1.0 + (LARGE_FLEET_INTAKE_MULTIPLE - 1.0) * fleet_scale(settings);
         let intake = settings.gossip_intake_per_second.max(1.0);
@@ -61,18 +71,18 @@
         }
     }
 
-    /// Puts a message into the next datagram to a peer, which is due after `delay` at the latest. Returns the datagram
-    /// that the message did not fit into, which is to be sent at once.
+    /// Puts a message into the next datagram to a peer, which is due after `max_delay` at the latest. Returns
+    /// the datagram that the message did not fit into, which is to be sent at once.
     pub(crate) fn enqueue(
         &mut self,
         to: GatewayId,
         tenant: TenantKey,
         message: &GossipMessage,
-        delay: Milliseconds,
+        max_delay: Milliseconds,
         now: Timestamp,
     ) -> Option<Datagram> {
         let item = encode(tenant, message, now);
-        let due_at = now + delay;
+        let due_at = now + max_delay;
         let batch = self.batches.entry(to).or_insert_with(|| Batch {
             due_at,
             text: String::new(),
--- a/src/decisions/quota/client/local_permits.rs
+++ b/src/decisions/quota/client/local_permits.rs
@@ -1,7 +1,7 @@
 //! Concurrency permits that each gateway of a shard has for itself.
 
-/// The requests of a tenant in flight at this gateway, and the limit on them. There is a limit where the plan has
-/// enough permits for each gateway of the shard to get at least one of its own.
+/// The requests of a tenant in flight at this gateway, and the limit on them. There is a limit where the plan
+/// has enough permits for each gateway of the shard to get at least one of its own.
 #[derive(Default)]
 pub(super) struct LocalPermits {
     in_flight: u32,
@@ -9,8 +9,8 @@
 }
 
 impl LocalPermits {
-    /// Divides the permits of a plan (0 for no limit) evenly among the gateways. Returns whether there are fewer
-    /// permits than gateways, so that the gateways have to share them.
+    /// Divides the permits of a plan (0 for no limit) evenly among the gateways. Returns whether there are
+    /// fewer permits than gateways, so that the gateways have to share them.
     pub(super) fn divide(&mut self, permits: u32, shard_size: u32) -> bool {
         let shared = permits > 0 && permits < shard_size;
         self.limit = (permits > 0 && !shared).then(|| permits / shard_size);
@@ -27,9 +27,9 @@
         self.in_flight
     }
 
-    /// Whether all permits of this gateway's own are in use.
-    pub(super) fn used_up(&self) -> bool {
-        self.limit.is_some_and(|limit| self.in_flight >= limit)
+    /// The limit, if it is reached.
+    pub(super) fn used_up(&self) -> Option<u32> {
+        self.limit.filter(|limit| self.in_flight >= *limit)
     }
 
     /// Counts a request that is forwarded.
--- a/src/decisions/quota/client/mod.rs
+++ b/src/decisions/quota/client/mod.rs
@@ -1,15 +1,14 @@
 //! A gateway as a client of the gateway that owns a tenant's quota.
 //!
-//! The client decides which requests ask the owner, leases tokens in advance, and falls back on a quota of its own
-//! while the owner does not respond.
+//! The client decides which requests ask the owner, leases tokens in advance, and falls back on a quota of
+//! its own while the owner does not respond.
 
 mod fallback_quota;
 mod local_permits;
 mod prefetch;
 mod unconfirmed_usage;
 
-use super::account::shard_size;
-use super::{AccountId, Conditions, DEMAND_WINDOW, KnownTokens};
+use super::{AccountId, Conditions, DEMAND_WINDOW, KnownTokens, shard_size};
 use crate::decisions::gossip::OwnerState;
 use crate::events::Request;
 use crate::settings::{Plan, Settings};
@@ -23,8 +22,8 @@
 
 /// The time constant with which the demand in the owner's last state decays.
 const OWNER_STATE_DECAY: Milliseconds = Milliseconds(2000.0);
-/// The owner is asked for at most this multiple of what it granted, or can grant. Further requests are rejected
-/// without asking it.
+/// The owner is asked for at most this multiple of what it granted, or can grant. Further requests are
+/// rejected without asking it.
 const POLL_HEADROOM: f64 = 1.5;
 /// Requests are expected to hold a permit at least this long.
 const MIN_PERMIT_DURATION: Milliseconds = Milliseconds(1.0);
@@ -114,8 +113,7 @@
         let needs_permit = self.permits.divide(plan.max_concurrency, shard_size);
         let sustainable = sustainable_rate(plan, cost, needs_permit, mean_latency);
         let poll_probability = self.poll_probability(cost, sustainable, now);
-        self.demand
-            .add_event(cost.as_f64(), now.as_f64(), DEMAND_WINDOW.as_f64());
+        self.demand.add_event(cost.as_f64(), now, DEMAND_WINDOW);
         let uses_prefetched = !needs_permit && self.prefetched.try_take(cost, now);
         let owner_is_local = account.owner == settings.gateway;
         self.poll_credit += poll_probability;
@@ -147,8 +145,8 @@
         }
     }
 
-    /// Takes the demand to report, and records the prefetch as requested. `None` if prefetched tokens cover the
-    /// request and no more are wanted.
+    /// Takes the demand to report, and records the prefetch as requested. `None` if prefetched tokens cover
+    /// the request and no more are wanted.
     fn lease_request(
         &mut self,
         cost: Tokens,
@@ -175,13 +173,13 @@
         })
     }
 
-    /// The probability with which a request asks the owner: adaptive throttling ("Handling Overload" in the SRE book)
-    /// on the demand and the grants that the owner reported. What the quota can sustain is asked for in any case,
-    /// since otherwise the grants, which follow the requests, would sink further and further.
+    /// The probability with which a request asks the owner: adaptive throttling ("Handling Overload" in the
+    /// SRE book) on the demand and the grants that the owner reported. What the quota can sustain is asked
+    /// for in any case, since otherwise the grants, which follow the requests, would sink further and
+    /// further.
     fn poll_probability(&self, cost: Tokens, sustainable: TokensPerSecond, now: Timestamp) -> f64 {
         let reported = self.owner_state.map(|ReceivedState { at, state }| {
-            let elapsed = now - at;
-            let decay = exponential_decay(elapsed.as_f64(), OWNER_STATE_DECAY.as_f64());
+            let decay = exponential_decay(now - at, OWNER_STATE_DECAY);
             (state.demand * decay, state.granted)
         });
         let (demand, granted) = reported.unwrap_or_default();
@@ -190,9 +188,9 @@
         1.0 - (excess.as_f64() / (demand.as_f64() + cost.as_f64())).max(0.0)
     }
 
-    /// Decides whether a request is forwarded although the owner has not responded: in the proportion that the owner
-    /// granted last, or else within the fallback quota; and within an even part of the plan's permits. `draw` is a
-    /// random number between 0 and 1.
+    /// Decides whether a request is forwarded although the owner has not responded: in the proportion that
+    /// the owner granted last, or else within the fallback quota; and within an even part of the plan's
+    /// permits. `draw` is a random number between 0 and 1.
     pub(super) fn admits_unconfirmed(&mut self, request: &Request, plan: &Plan, draw: f64) -> bool {
         let within_quota = match self.owner_state {
             Some(ReceivedState { state, .. }) => state.demand * draw <= state.granted,
@@ -205,8 +203,8 @@
         within_quota && (permits <= 0.0 || in_flight < permits.max(1.0))
     }
 
-    /// Keeps tokens that were granted and not used for later requests, if these are likely to use them. Returns
-    /// whether it did.
+    /// Keeps tokens that were granted and not used for later requests, if these are likely to use them.
+    /// Returns whether it did.
     pub(super) fn keep_unused(&mut self, unused: Tokens, now: Timestamp) -> bool {
         self.prefetched.keep(unused, self.demand(), now)
     }
@@ -216,7 +214,8 @@
         self.fallback.hard_limit_covers(cost)
     }
 
-    /// Counts a request that is forwarded, and charges `hard_limit_cost` to this gateway's part of the hard limit.
+    /// Counts a request that is forwarded, and charges `hard_limit_cost` to this gateway's part of the hard
+    /// limit.
     pub(super) fn start_request(&mut self, hard_limit_cost: Tokens) {
         self.fallback.charge_hard_limit(hard_limit_cost);
         self.permits.acquire();
@@ -237,8 +236,8 @@
         self.permits.limit()
     }
 
-    /// Whether all permits of this gateway's own are in use.
-    pub(super) fn local_permits_used_up(&self) -> bool {
+    /// The number of permits of this gateway's own, if it has any and all are in use.
+    pub(super) fn used_up_permits(&self) -> Option<u32> {
         self.permits.used_up()
     }
 
--- a/src/decisions/quota/client/prefetch.rs
+++ b/src/decisions/quota/client/prefetch.rs
@@ -2,8 +2,8 @@
 
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
-/// Tokens for the demand of this duration are leased in advance. Older ones are returned: kept by all gateways, they
-/// would add up to more than a hard limit.
+/// Tokens for the demand of this duration are leased in advance. Older ones are returned: kept by all
+/// gateways, they would add up to more than a hard limit.
 const PREFETCH_HORIZON: Milliseconds = Milliseconds(400.0);
 /// After a request for a prefetch there is no further one for this duration, in which the owner responds.
 const PREFETCH_PAUSE: Milliseconds = Milliseconds(100.0);
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Takes the cost of a request, if there are enough tokens that are recent enough. Returns whether it did.
+    /// Takes the cost of a request, if there are enough tokens that are recent enough. Returns whether it
+    /// did.
     pub(super) fn try_take(&mut self, cost: Tokens, now: Timestamp) -> bool {
         let covers = self.is_fresh(now) && self.tokens >= cost;
         if covers {
@@ -43,8 +44,8 @@
         }
     }
 
-    /// The tokens to lease in advance at this demand: none where they are less than the cost of a request, or where
-    /// some were requested just now.
+    /// The tokens to lease in advance at this demand: none where they are less than the cost of a request, or
+    /// where some were requested just now.
     pub(super) fn wanted(&self, demand: TokensPerSecond, cost: Tokens, now: Timestamp) -> Tokens {
         let missing = demand.over(PREFETCH_HORIZON) - self.tokens;
         if missing < cost || self.age(now) < PREFETCH_PAUSE {
--- a/src/decisions/quota/client/unconfirmed_usage.rs
+++ b/src/decisions/quota/client/unconfirmed_usage.rs
@@ -1,7 +1,7 @@
 //! Usage of requests that were forwarded while the owner of their quota did not respond.
 
+use crate::decisions::account::AccountId;
 use crate::decisions::gossip::{GossipMessage, QuotaRequestId, TenantKey};
-use crate::decisions::quota::AccountId;
 use crate::units::Tokens;
 use std::collections::BTreeMap;
 
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -1,16 +1,26 @@
 //! The accounts that this gateway uses: its requests need tokens and permits of their owners.
 
-use super::{AccountId, Conditions, LeaseDecision, LeaseRequest, QuotaClient, Quotas, Settlement};
-use crate::decisions::gossip::{GossipMessage, OwnerState, QuotaRequestId, TenantKey};
+use super::owner::QueuedDecision;
+use super::{
+    LeaseDecision, LeaseRequest, QuotaClient, Quotas, Settlement, Unused, schedule_renewal,
+};
+use crate::decisions::account::AccountId;
+use crate::decisions::context::EventContext;
+use crate::decisions::gossip::{
+    GossipMessage, OwnerState, PermitId, QuotaRequest, QuotaRequestId, TenantKey,
+};
+use crate::decisions::requests::{QuotaGrant, ReceivedRequest};
 use crate::events::{GatewayId, Request};
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
-use rand::Rng;
 
 /// The outcome of [`Quotas::check_locally`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum LocalCheck {
     /// All permits of this gateway's own are in use.
-    NoFreePermit,
+    NoFreePermit {
+        /// The number of these permits.
+        permits: u32,
+    },
     /// This gateway's part of the hard limit does not cover the request.
     OverHardLimit,
     /// The request may be forwarded.
@@ -20,29 +30,73 @@
     },
 }
 
+/// The permit of a request that has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum FreedPermit {
+    /// The request had none that another one could use.
+    None,
+    /// One of this gateway's own.
+    Local,
+    /// One that the gateways of the shard share, leased under this number.
+    Shared(QuotaRequestId),
+}
+
 impl Quotas {
     /// Decides how a request that has just arrived gets its tokens.
     pub(crate) fn request(
         &mut self,
-        account: AccountId,
-        request: &Request,
-        conditions: Conditions,
-        rng: &mut impl Rng,
+        received: &ReceivedRequest,
+        context: &mut EventContext,
     ) -> LeaseDecision {
-        let now = conditions.now;
-        let tenant = self.tenants.touch(account, &self.settings, now, rng);
+        let (account, request) = (received.account, &received.request);
+        let tenant = self.tenants.touch(account, &self.settings, context);
+        let conditions = context.conditions();
         tenant
             .client
             .request(account, request, &self.settings, conditions)
     }
 
-    /// What the owner is asked for again, when the first message or the response to it was lost.
-    pub(crate) fn repeated_lease_request(&self, account: AccountId, cost: Tokens) -> LeaseRequest {
-        LeaseRequest {
-            cost,
+    /// Asks the owner for what a request and those to come need. `None` asks for nothing.
+    pub(crate) fn ask_owner(
+        &self,
+        received: &ReceivedRequest,
+        lease: Option<LeaseRequest>,
+        context: &mut EventContext,
+    ) {
+        let Some(lease) = lease else { return };
+        let message = GossipMessage::RequestQuota {
+            plan: received.account.plan,
+            request: self.quota_request(received, lease),
+        };
+        context.send_to_owner(received.account, &message, Milliseconds::ZERO);
+    }
+
+    /// Asks the owner again, since the first message or the response to it may have been lost. The owner
+    /// charges the request once.
+    pub(crate) fn ask_owner_again(&self, received: &ReceivedRequest, context: &mut EventContext) {
+        let lease = LeaseRequest {
+            cost: received.request.cost,
             prefetch: Tokens::ZERO,
             demand: Tokens::ZERO,
-            needs_permit: self.shares_permits(account),
+            needs_permit: self.shares_permits(received.account),
+        };
+        self.ask_owner(received, Some(lease), context);
+    }
+
+    /// The quota request of a request that needs this lease.
+    pub(crate) fn quota_request(
+        &self,
+        received: &ReceivedRequest,
+        lease: LeaseRequest,
+    ) -> QuotaRequest {
+        QuotaRequest {
+            gateway: self.settings.gateway,
+            id: received.quota_request,
+            cost: lease.cost,
+            prefetch: lease.prefetch,
+            demand: lease.demand,
+            needs_permit: lease.needs_permit,
+            expires_at: received.wait_deadline,
         }
     }
 
@@ -53,15 +107,10 @@
         }
     }
 
-    /// Decides whether a request is forwarded although its owner has not responded, given a random number between 0
-    /// and 1. Its cost is recorded, to be reported when other gateways are heard from again.
-    pub(crate) fn admit_unconfirmed(
-        &mut self,
-        account: AccountId,
-        id: QuotaRequestId,
-        request: &Request,
-        draw: f64,
-    ) -> bool {
+    /// Decides whether a request is forwarded although its owner has not responded, given a random number
+    /// between 0 and 1. Its cost is recorded, to be reported when other gateways are heard from again.
+    pub(crate) fn admit_unconfirmed(&mut self, received: &ReceivedRequest, draw: f64) -> bool {
+        let (account, request) = (received.account, &received.request);
         let plan = self.settings.plan(account.plan);
         let Some(tenant) = self.tenants.get_mut(account.tenant) else {
             return false;
@@ -71,127 +120,179 @@
         }
         let cost = request.cost * plan.over_quota_penalty.min(1.0);
         if self.settings.gossip_enabled && cost > Tokens::ZERO {
+            let id = received.quota_request;
             self.unconfirmed_usage.add(account, id, cost);
         }
         true
     }
 
-    /// Removes the recorded usage of requests that were forwarded without a response. Returns the reports of it to
-    /// the owners.
-    pub(crate) fn take_unconfirmed_reports(
+    /// Reports the usage of requests that were forwarded without a response to the owners.
+    pub(crate) fn report_unconfirmed_usage(&mut self, context: &mut EventContext) {
+        for (account, report) in self.unconfirmed_usage.take_reports() {
+            context.send_to_owner(account, &report, Milliseconds::ZERO);
+        }
+    }
+
+    /// Settles usage that differs from what the owner granted. Returns the decisions on queued requests that
+    /// follow from it, where this gateway is the owner.
+    pub(crate) fn settle(
         &mut self,
-    ) -> impl Iterator<Item = (AccountId, GossipMessage)> + use<> {
-        self.unconfirmed_usage.take_reports()
+        settlement: &Settlement,
+        context: &mut EventContext,
+    ) -> Vec<QueuedDecision> {
+        let Settlement { account, cost, .. } = *settlement;
+        let gateway = self.settings.gateway;
+        if account.owner == gateway {
+            let permit = settlement
+                .permit
+                .map(|request| PermitId { gateway, request });
+            return self.settle_as_owner(account, cost, permit, context);
+        }
+        if let Some(max_delay) = settlement.max_delay(&self.settings) {
+            context.send_to_owner(account, &settlement.message(), max_delay);
+        }
+        Vec::new()
     }
 
-    /// Keeps tokens that were granted and not used for later requests, if it can. Returns what is to be settled
-    /// otherwise, with the permit of the request.
+    /// Keeps tokens that were granted and not used for later requests, if it can. Returns what is to be
+    /// settled otherwise.
     pub(crate) fn return_unused(
         &mut self,
         key: TenantKey,
         owner: GatewayId,
-        unused: Tokens,
-        permit: Option<QuotaRequestId>,
+        unused: Unused,
         now: Timestamp,
     ) -> Option<Settlement> {
+        let Unused { tokens, permit } = unused;
         let tenant = self.tenants.get_mut(key)?;
         let shares_permits = tenant.shares_permits(&self.settings);
         let may_keep = !shares_permits && owner != self.settings.gateway;
-        if may_keep && tenant.client.keep_unused(unused, now) {
+        if may_keep && tenant.client.keep_unused(tokens, now) {
             return None;
         }
-        let is_settled = unused > Tokens::ZERO || shares_permits && permit.is_some();
+        let is_settled = tokens > Tokens::ZERO || shares_permits && permit.is_some();
         is_settled.then_some(Settlement {
             account: AccountId {
                 tenant: key,
                 plan: tenant.plan,
                 owner,
             },
-            cost: -unused,
+            cost: -tokens,
             permit,
         })
     }
 
-    /// Checks a request that its quota covers against what this gateway may do without the owner. `covered` says
-    /// whether the owner has granted the tokens.
+    /// Checks a request against what this gateway may do without the owner.
     pub(crate) fn check_locally(
         &self,
-        account: AccountId,
-        cost: Tokens,
-        covered: bool,
+        received: &ReceivedRequest,
+        grant: QuotaGrant,
     ) -> LocalCheck {
-        let client = self
-            .tenants
-            .get(account.tenant)
-            .map(|tenant| &tenant.client);
-        if client.is_some_and(QuotaClient::local_permits_used_up) {
-            return LocalCheck::NoFreePermit;
-        }
-        let has_hard_limit = self.settings.plan(account.plan).hard_limit_rate > TokensPerSecond::ZERO;
-        if !has_hard_limit || covered && self.settings.gossip_enabled {
-            let hard_limit_cost = Tokens::ZERO;
-            return LocalCheck::Passed { hard_limit_cost };
+        let account = received.account;
+        let tenant = self.tenants.get(account.tenant);
+        let client = tenant.map(|tenant| &tenant.client);
+        if let Some(permits) = client.and_then(QuotaClient::used_up_permits) {
+            return LocalCheck::NoFreePermit { permits };
         }
-        if client.is_some_and(|client| client.hard_limit_covers(cost)) {
-            let hard_limit_cost = cost;
-            return LocalCheck::Passed { hard_limit_cost };
+        let has_hard_limit =
+            self.settings.plan(account.plan).hard_limit_rate > TokensPerSecond::ZERO;
+        let is_leased = self.settings.gossip_enabled && grant.covers_cost();
+        let hard_limit_cost = if has_hard_limit && !is_leased {
+            received.request.cost
+        } else {
+            Tokens::ZERO
+        };
+        let covers = |client: &QuotaClient| client.hard_limit_covers(hard_limit_cost);
+        if !has_hard_limit || is_leased || client.is_some_and(covers) {
+            LocalCheck::Passed { hard_limit_cost }
+        } else {
+            LocalCheck::OverHardLimit
         }
-        LocalCheck::OverHardLimit
     }
 
-    /// Counts a request that is forwarded, and charges `hard_limit_cost` to this gateway's part of the hard limit.
-    pub(crate) fn start_request(&mut self, account: AccountId, hard_limit_cost: Tokens) {
+    /// Counts a request that is forwarded, charges `hard_limit_cost` to this gateway's part of the hard
+    /// limit, and schedules the first renewal of its permit.
+    pub(crate) fn start_request(
+        &mut self,
+        received: &ReceivedRequest,
+        grant: QuotaGrant,
+        hard_limit_cost: Tokens,
+        context: &mut EventContext,
+    ) {
+        let (account, id) = (received.account, received.quota_request);
         if let Some(tenant) = self.tenants.get_mut(account.tenant) {
             tenant.client.start_request(hard_limit_cost);
         }
+        if self.limits_concurrency(account) && grant.permit() == Some(id) {
+            schedule_renewal(id, context);
+        }
     }
 
-    /// Counts a request that has ended. Returns whether this gateway has permits of its own for the account.
-    pub(crate) fn end_request(&mut self, account: AccountId) -> bool {
-        let Some(tenant) = self.tenants.get_mut(account.tenant) else {
-            return false;
-        };
-        tenant.client.end_request();
-        tenant.client.local_permit_limit().is_some()
+    /// Counts a request that has ended. Returns the permit that it used and that another request may use now.
+    pub(crate) fn end_request(&mut self, account: AccountId, grant: QuotaGrant) -> FreedPermit {
+        let tenant = self.tenants.get_mut(account.tenant);
+        let has_local_permits = tenant.is_some_and(|tenant| {
+            tenant.client.end_request();
+            tenant.client.local_permit_limit().is_some()
+        });
+        match grant.permit() {
+            _ if has_local_permits => FreedPermit::Local,
+            Some(permit) if self.limits_concurrency(account) => FreedPermit::Shared(permit),
+            _ => FreedPermit::None,
+        }
     }
 
-    /// The number of permits that this gateway has of its own for an account, if it has any.
-    pub(crate) fn local_permit_limit(&self, account: AccountId) -> Option<u32> {
-        self.tenants
-            .get(account.tenant)?
-            .client
-            .local_permit_limit()
+    /// Renews the lease of a permit that this gateway holds, if the gateways of the shard share the permits.
+    /// Returns when it is to be renewed next.
+    pub(crate) fn renew_permit(
+        &mut self,
+        account: AccountId,
+        permit: QuotaRequestId,
+        context: &mut EventContext,
+    ) -> Option<Timestamp> {
+        if !self.shares_permits(account) {
+            return None;
+        }
+        let next_renewal = schedule_renewal(permit, context);
+        let (plan, gateway) = (account.plan, self.settings.gateway);
+        if account.owner == gateway {
+            let request = permit;
+            self.renew_as_owner(account, PermitId { gateway, request }, context.now);
+        } else {
+            let message = GossipMessage::RenewPermit { plan, permit };
+            context.send_to_owner(account, &message, Milliseconds::ZERO);
+        }
+        Some(next_renewal)
+    }
+
+    /// Whether this gateway has permits of its own for an account.
+    pub(crate) fn has_local_permits(&self, account: AccountId) -> bool {
+        let tenant = self.tenants.get(account.tenant);
+        tenant.is_some_and(|tenant| tenant.client.local_permit_limit().is_some())
     }
 
     /// Whether the gateways of the account's shard share the permits of its plan.
-    pub(crate) fn shares_permits(&self, account: AccountId) -> bool {
-        let limits_concurrency = self.settings.plan(account.plan).max_concurrency > 0;
-        limits_concurrency && self.local_permit_limit(account).is_none()
+    fn shares_permits(&self, account: AccountId) -> bool {
+        self.limits_concurrency(account) && !self.has_local_permits(account)
+    }
+
+    fn limits_concurrency(&self, account: AccountId) -> bool {
+        self.settings.plan(account.plan).max_concurrency > 0
     }
 
-    /// How long the client of a rejected request should wait before it retries; 0 for no advice. It is advised only
-    /// where the tokens that the request needs will not be available within its latency objective: for a shorter
-    /// time the client's own backoff serves better.
+    /// How long the client of a rejected request should wait before it retries; 0 for no advice. It is
+    /// advised only where the tokens that the request needs will not be available within its latency
+    /// objective: for a shorter time the client's own backoff serves better.
     pub(crate) fn retry_after(&self, request: &Request, now: Timestamp) -> Milliseconds {
+        let key = TenantKey::new(&request.tenant, request.plan);
+        let tenant = self.tenants.get(key);
+        let available_in =
+            tenant.and_then(|tenant| tenant.tokens_available_in(request.cost, &self.settings, now));
         let class = self.settings.classes.get(request.class.0);
-        let objective = class.map_or(Milliseconds::ZERO, |class| {
-            class.latency_objective
-        });
-        match self.tokens_available_in(request, now) {
+        let objective = class.map_or(Milliseconds::ZERO, |class| class.latency_objective);
+        match available_in {
             Some(available_in) if available_in > objective => available_in.ceil(),
             _ => Milliseconds::ZERO,
         }
     }
-
-    /// The duration until the bucket of a request's tenant covers its cost, as far as this gateway knows; `None` if
-    /// the tenant is unknown or its rate is not limited. Negative if the bucket covers it already.
-    fn tokens_available_in(&self, request: &Request, now: Timestamp) -> Option<Milliseconds> {
-        let key = TenantKey::new(&request.tenant, request.plan);
-        let tenant = self.tenants.get(key)?;
-        let refill_rate = self.settings.plan(tenant.plan).refill_rate;
-        let known = tenant.known_tokens();
-        let missing = request.cost - known.tokens;
-        let available_at = known.as_of + missing.time_at(refill_rate);
-        (refill_rate > TokensPerSecond::ZERO).then(|| available_at - now)
-    }
 }
--- a/src/decisions/quota/owner/mod.rs
+++ b/src/decisions/quota/owner/mod.rs
@@ -1,8 +1,8 @@
 //! The owner's side of a tenant's quota: which requests are granted tokens and concurrency permits.
 //!
-//! One gateway of a tenant's shard, selected by the tenant's key, owns the quota. All gateways of the shard, itself
-//! among them, request tokens and permits from it. What they use beyond a grant, or do not use of it, is settled
-//! later.
+//! One gateway of a tenant's shard, selected by the tenant's key, owns the quota. All gateways of the shard,
+//! itself among them, request tokens and permits from it. What they use beyond a grant, or do not use of it,
+//! is settled later.
 
 mod bounded_history;
 mod ledger;
@@ -18,17 +18,18 @@
 use permit_pool::PermitPool;
 use std::collections::VecDeque;
 
-/// The fraction of the largest cost of a request that stays in the bucket, as far as usage beyond the quota is
-/// penalized and as the fleet is large: what its gateways have in flight is not settled yet. In a fleet of three the
-/// reserve costs more than it saves.
+/// The fraction of the largest cost of a request that stays in the bucket, as far as usage beyond the quota
+/// is penalized and as the fleet is large: what its gateways have in flight is not settled yet. In a fleet of
+/// three the reserve costs more than it saves.
 const BUCKET_RESERVE_FRACTION: f64 = 0.3;
-/// The number of granted requests that are remembered, to recognize those that are sent again. That happens within
-/// half a second, in which a tenant at its quota is granted fewer.
+/// The number of granted requests that are remembered, to recognize those that are sent again. That happens
+/// within half a second, in which a tenant at its quota is granted fewer.
 const REMEMBERED_GRANTS: usize = 16;
-/// A permit that this owner no longer counts is leased again when its holder renews it, as long as fewer than this many
-/// times the limit are leased.
+/// A permit that this owner no longer counts is leased again when its holder renews it, as long as fewer than
+/// this many times the limit are leased.
 const MAX_RENEWED_PERMIT_MULTIPLE: usize = 4;
-/// The fraction of the remaining tokens that one gateway may prefetch, since other gateways request tokens too.
+/// The fraction of the remaining tokens that one gateway may prefetch, since other gateways request tokens
+/// too.
 const MAX_PREFETCH_FRACTION: f64 = 0.5;
 
 /// The decision on a request that was in the queue.
@@ -72,8 +73,8 @@
         self.ledger.state()
     }
 
-    /// Brings the quota up to now: refills the bucket, and drops permits whose lease has ended and requests that have
-    /// waited too long.
+    /// Brings the quota up to now: refills the bucket, and drops permits whose lease has ended and requests
+    /// that have waited too long.
     pub(super) fn advance(&mut self, plan: &Plan, permit_lease: Milliseconds, now: Timestamp) {
         self.ledger.advance(plan, now);
         self.permits.expire(permit_lease, now);
@@ -134,7 +135,8 @@
         QuotaDecision::Queued
     }
 
-    /// Leases free permits to the requests in the queue. A request whose tokens have been used up meanwhile is denied.
+    /// Leases free permits to the requests in the queue. A request whose tokens have been used up meanwhile
+    /// is denied.
     pub(super) fn grant_queued(
         &mut self,
         plan: &Plan,
@@ -146,7 +148,8 @@
             && let Some(request) = self.queue.pop_front()
         {
             let cost = request.cost;
-            let over_hard_limit = plan.hard_limit_rate > TokensPerSecond::ZERO && self.ledger.leasable() < cost;
+            let over_hard_limit =
+                plan.hard_limit_rate > TokensPerSecond::ZERO && self.ledger.leasable() < cost;
             let decision = if over_hard_limit || !self.ledger.covers(cost, reserve, plan) {
                 QuotaDecision::Denied
             } else {
@@ -158,8 +161,8 @@
         decisions
     }
 
-    /// Charges tokens that were used without a grant, or takes unused ones back (`cost` negative), and takes back a
-    /// permit.
+    /// Charges tokens that were used without a grant, or takes unused ones back (`cost` negative), and takes
+    /// back a permit.
     pub(super) fn settle(&mut self, cost: Tokens, permit: Option<PermitId>, plan: &Plan) {
         self.ledger.settle(cost, plan);
         if let Some(permit) = permit {
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Charges what a gateway used while this owner did not respond, unless the last request of it was granted after
-    /// all.
+    /// Charges what a gateway used while this owner did not respond, unless the last request of it was
+    /// granted after all.
     pub(super) fn charge_unconfirmed(&mut self, last_request: PermitId, cost: Tokens) {
         if !self.recent_grants.contains(&last_request) {
             self.ledger.charge_unconfirmed(cost);
--- a/src/decisions/quota/owner/permit_pool.rs
+++ b/src/decisions/quota/owner/permit_pool.rs
@@ -1,4 +1,5 @@
-//! Leased concurrency permits. A permit returns when it is released, or when its lease ends without a renewal.
+//! Leased concurrency permits. A permit returns when it is released, or when its lease ends without a
+//! renewal.
 
 use crate::decisions::gossip::PermitId;
 use crate::units::{Milliseconds, Timestamp};
--- a/src/decisions/quota/owner_side.rs
+++ b/src/decisions/quota/owner_side.rs
@@ -1,25 +1,28 @@
 //! The accounts that this gateway owns: it decides on the requests of all gateways of the shard.
 
+use super::Quotas;
 use super::owner::{QueuedDecision, bucket_reserve};
-use super::{AccountId, Conditions, Quotas};
-use crate::decisions::gossip::{OwnerState, PermitId, QuotaDecision, QuotaRequest, TenantKey};
-use crate::units::{Timestamp, Tokens};
-use rand::Rng;
+use crate::decisions::account::AccountId;
+use crate::decisions::context::EventContext;
+use crate::decisions::gossip::{
+    GossipMessage, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId,
+};
+use crate::events::GatewayId;
+use crate::units::{Milliseconds, Timestamp, Tokens};
 
 impl Quotas {
-    /// Brings an account up to now, and grants free permits to the requests in its queue.
+    /// Brings an account up to now, and grants free permits to the requests in its queue. A permit whose
+    /// release was lost becomes free when its lease ends, which nothing else announces.
     pub(crate) fn grant_queued(
         &mut self,
         account: AccountId,
-        conditions: Conditions,
-        rng: &mut impl Rng,
+        context: &mut EventContext,
     ) -> Vec<QueuedDecision> {
         let plan = self.settings.plan(account.plan);
         let reserve = bucket_reserve(&self.settings, plan);
-        let owner = self
-            .tenants
-            .advanced_owner(account, &self.settings, conditions, rng);
-        owner.grant_queued(plan, reserve, conditions.now)
+        self.tenants
+            .advanced_owner(account, &self.settings, context)
+            .grant_queued(plan, reserve, context.now)
     }
 
     /// Decides on a quota request. The account was brought up to now by [`Quotas::grant_queued`].
@@ -27,7 +30,7 @@
         &mut self,
         account: AccountId,
         request: QuotaRequest,
-        conditions: Conditions,
+        context: &EventContext,
     ) -> QuotaDecision {
         let Some(tenant) = self.tenants.get_mut(account.tenant) else {
             return QuotaDecision::Denied;
@@ -35,71 +38,88 @@
         let plan = self.settings.plan(tenant.plan);
         let reserve = bucket_reserve(&self.settings, self.settings.plan(account.plan));
         let gossip_enabled = self.settings.gossip_enabled;
+        let conditions = context.conditions();
         tenant
             .owner
             .decide(request, plan, reserve, gossip_enabled, conditions)
     }
 
-    /// Charges or takes back what a gateway settles, and grants permits that became free to the requests in the queue.
-    pub(crate) fn settle(
+    /// Sends a decision to the gateway that asked for it, which is another one.
+    pub(crate) fn send_decision(
+        &self,
+        account: AccountId,
+        request: &QuotaRequest,
+        decision: QuotaDecision,
+        context: &mut EventContext,
+    ) {
+        let Some(tenant) = self.tenants.get(account.tenant) else {
+            return;
+        };
+        let response = GossipMessage::QuotaResponse {
+            request: request.id,
+            decision,
+            state: tenant.owner.state(),
+        };
+        let max_delay = Milliseconds::ZERO;
+        context.send(request.gateway, account.tenant, &response, max_delay);
+    }
+
+    /// Handles a message of another gateway about its use of an account. Returns the decisions on queued
+    /// requests that follow from it.
+    pub(crate) fn on_usage_message(
+        &mut self,
+        account: AccountId,
+        from: GatewayId,
+        message: GossipMessage,
+        context: &mut EventContext,
+    ) -> Vec<QueuedDecision> {
+        let permit_of = |request: QuotaRequestId| PermitId {
+            gateway: from,
+            request,
+        };
+        match message {
+            GossipMessage::SettleUsage { cost, permit, .. } => {
+                return self.settle_as_owner(account, cost, permit.map(permit_of), context);
+            }
+            GossipMessage::ReportUnconfirmedUsage {
+                last_request, cost, ..
+            } => self
+                .tenants
+                .advanced_owner(account, &self.settings, context)
+                .charge_unconfirmed(permit_of(last_request), cost),
+            GossipMessage::RenewPermit { permit, .. } => {
+                self.tenants
+                    .advanced_owner(account, &self.settings, context);
+                self.renew_as_owner(account, permit_of(permit), context.now);
+            }
+            GossipMessage::RequestQuota { .. } | GossipMessage::QuotaResponse { .. } => {}
+        }
+        Vec::new()
+    }
+
+    /// Charges or takes back what a gateway settles, and grants the permits that are free to the requests in
+    /// the queue.
+    pub(super) fn settle_as_owner(
         &mut self,
         account: AccountId,
         cost: Tokens,
         permit: Option<PermitId>,
-        conditions: Conditions,
-        rng: &mut impl Rng,
+        context: &mut EventContext,
     ) -> Vec<QueuedDecision> {
         let plan = self.settings.plan(account.plan);
         let reserve = bucket_reserve(&self.settings, plan);
         let owner = self
             .tenants
-            .advanced_owner(account, &self.settings, conditions, rng);
+            .advanced_owner(account, &self.settings, context);
         owner.settle(cost, permit, plan);
-        owner.grant_queued(plan, reserve, conditions.now)
-    }
-
-    /// Charges what a gateway used while this owner did not respond.
-    pub(crate) fn charge_unconfirmed(
-        &mut self,
-        account: AccountId,
-        last_request: PermitId,
-        cost: Tokens,
-        conditions: Conditions,
-        rng: &mut impl Rng,
-    ) {
-        self.tenants
-            .advanced_owner(account, &self.settings, conditions, rng)
-            .charge_unconfirmed(last_request, cost);
+        owner.grant_queued(plan, reserve, context.now)
     }
 
-    /// Renews the lease of a permit that another gateway holds.
-    pub(crate) fn renew_permit(
-        &mut self,
-        account: AccountId,
-        permit: PermitId,
-        conditions: Conditions,
-        rng: &mut impl Rng,
-    ) {
-        self.tenants
-            .advanced_owner(account, &self.settings, conditions, rng);
-        self.renew_own_permit(account, permit, conditions.now);
-    }
-
-    /// Renews the lease of a permit that this gateway holds as a client of its own account.
-    pub(crate) fn renew_own_permit(
-        &mut self,
-        account: AccountId,
-        permit: PermitId,
-        now: Timestamp,
-    ) {
+    /// Renews the lease of a permit.
+    pub(super) fn renew_as_owner(&mut self, account: AccountId, permit: PermitId, now: Timestamp) {
         if let Some(tenant) = self.tenants.get_mut(account.tenant) {
             let plan = self.settings.plan(tenant.plan);
             tenant.owner.renew_permit(permit, plan, now);
         }
     }
-
-    /// The state of an account, for a response.
-    pub(crate) fn owner_state(&self, tenant: TenantKey) -> Option<OwnerState> {
-        Some(self.tenants.get(tenant)?.owner.state())
-    }
 }
--- a/src/decisions/quota/settlement.rs
+++ b/src/decisions/quota/settlement.rs
@@ -1,6 +1,6 @@
 //! The settlement of usage that differs from what the owner of a quota granted.
 
-use super::AccountId;
+use crate::decisions::account::AccountId;
 use crate::decisions::gossip::{GossipMessage, QuotaRequestId};
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
@@ -8,6 +8,23 @@
 /// A settlement without a permit may wait this long for a datagram that is sent anyway.
 const MAX_DELAY: Milliseconds = Milliseconds(1000.0);
 
+/// What was granted to a request and is not used by it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Unused {
+    pub tokens: Tokens,
+    pub permit: Option<QuotaRequestId>,
+}
+
+impl Unused {
+    /// Unused tokens without a permit.
+    pub(crate) fn tokens(tokens: Tokens) -> Unused {
+        Unused {
+            tokens,
+            permit: None,
+        }
+    }
+}
+
 /// Tokens to charge, or to return where negative, and a permit to release.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Settlement {
@@ -35,7 +52,8 @@
         }
     }
 
-    /// How long the message to the owner may wait for a datagram; `None` if there is nothing to tell the owner.
+    /// How long the message to the owner may wait for a datagram; `None` if there is nothing to tell the
+    /// owner.
     pub(crate) fn max_delay(&self, settings: &Settings) -> Option<Milliseconds> {
         let has_quota = settings.plan(self.account.plan).refill_rate > TokensPerSecond::ZERO;
         if self.permit.is_some() {
--- a/src/decisions/quota/tenants.rs
+++ b/src/decisions/quota/tenants.rs
@@ -1,11 +1,13 @@
 //! The tenants that a gateway knows.
 
 use super::permit_lease::permit_lease;
-use super::{AccountId, Conditions, ExpiringMap, QuotaClient, QuotaOwner};
+use super::{ExpiringMap, QuotaClient, QuotaOwner};
+use crate::decisions::account::AccountId;
+use crate::decisions::context::EventContext;
 use crate::decisions::gossip::TenantKey;
 use crate::events::PlanIndex;
 use crate::settings::Settings;
-use crate::units::{Milliseconds, Timestamp, Tokens};
+use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 use rand::Rng;
 
 /// Tenants that have been idle for this long are dropped: by then every bucket is full again.
@@ -13,27 +15,40 @@
 /// The time between two searches for idle tenants.
 const EVICTION_INTERVAL: Milliseconds = Milliseconds(6_000.0);
 
-/// A tenant on one plan. The client's side is used for its requests at this gateway, and the owner's side if this
-/// gateway owns the quota.
+/// A tenant on one plan. The client's side is used for its requests at this gateway, and the owner's side if
+/// this gateway owns the quota.
 pub(super) struct Tenant {
     pub plan: PlanIndex,
     pub owner: QuotaOwner,
     pub client: QuotaClient,
 }
 
-/// The tokens in a tenant's bucket as far as a gateway knows them.
+/// The tokens in a tenant's bucket as of a time.
 pub(super) struct KnownTokens {
     pub tokens: Tokens,
     pub as_of: Timestamp,
 }
 
 impl Tenant {
-    /// The tokens in the bucket: as the owner last reported them, or as counted by this gateway.
-    pub(super) fn known_tokens(&self) -> KnownTokens {
-        self.client.reported_tokens().unwrap_or(KnownTokens {
+    /// The duration until the bucket holds the cost of a request, as far as this gateway knows. `None` if the
+    /// rate of the plan is not limited; negative if the bucket held it already.
+    pub(super) fn tokens_available_in(
+        &self,
+        cost: Tokens,
+        settings: &Settings,
+        now: Timestamp,
+    ) -> Option<Milliseconds> {
+        let refill_rate = settings.plan(self.plan).refill_rate;
+        if refill_rate <= TokensPerSecond::ZERO {
+            return None;
+        }
+        // As the owner last reported them, or as counted by this gateway.
+        let known = self.client.reported_tokens().unwrap_or(KnownTokens {
             tokens: self.owner.tokens(),
             as_of: self.owner.updated_at(),
-        })
+        });
+        let missing = cost - known.tokens;
+        Some(known.as_of + missing.time_at(refill_rate) - now)
     }
 
     /// Whether the gateways of the tenant's shard share the permits of its plan.
@@ -51,17 +66,17 @@
         Tenants(ExpiringMap::new())
     }
 
-    /// The tenant of an account, which counts as seen now. A new one starts with a random credit for asking the owner,
-    /// so that the gateways of a shard do not ask at the same time.
+    /// The tenant of an account, which counts as seen now. A new one starts with a random credit for asking
+    /// the owner, so that the gateways of a shard do not ask at the same time.
     pub(super) fn touch(
         &mut self,
         account: AccountId,
         settings: &Settings,
-        now: Timestamp,
-        rng: &mut impl Rng,
+        context: &mut EventContext,
     ) -> &mut Tenant {
+        let now = context.now;
         // Drawn for known tenants too: decisions are reproducible only with the same sequence of draws.
-        let poll_credit = rng.random::<f64>();
+        let poll_credit = context.rng.random::<f64>();
         let plan = settings.plan(account.plan);
         self.0.touch(account.tenant, now, || Tenant {
             plan: account.plan,
@@ -70,19 +85,18 @@
         })
     }
 
-    /// The owner's side of an account, brought up to now. The tenant counts as seen now. The plan with which it became
-    /// known applies, since the plan in a damaged message may be another.
+    /// The owner's side of an account, brought up to now. The tenant counts as seen now. The plan with which
+    /// it became known applies, since the plan in a damaged message may be another.
     pub(super) fn advanced_owner(
         &mut self,
         account: AccountId,
         settings: &Settings,
-        conditions: Conditions,
-        rng: &mut impl Rng,
+        context: &mut EventContext,
     ) -> &mut QuotaOwner {
-        let Conditions { now, mean_latency } = conditions;
-        let tenant = self.touch(account, settings, now, rng);
+        let tenant = self.touch(account, settings, context);
         let plan = settings.plan(tenant.plan);
-        tenant.owner.advance(plan, permit_lease(mean_latency), now);
+        let lease = permit_lease(context.mean_latency);
+        tenant.owner.advance(plan, lease, context.now);
         &mut tenant.owner
     }
 
--- a/src/decisions/requests/in_flight.rs
+++ b/src/decisions/requests/in_flight.rs
@@ -1,7 +1,7 @@
 //! Requests that have been forwarded.
 
 use super::{QuotaGrant, ReceivedRequest};
-use crate::records::PossibleExecution;
+use crate::decisions::retries::PossibleExecution;
 use crate::units::Timestamp;
 
 /// A request that has been forwarded and whose last attempt has not ended.
--- a/src/decisions/requests/mod.rs
+++ b/src/decisions/requests/mod.rs
@@ -1,4 +1,5 @@
-//! The requests that a gateway is responsible for: those that wait for their quota, and those that are in flight.
+//! The requests that a gateway is responsible for: those that wait for their quota, and those that are in
+//! flight.
 
 mod in_flight;
 mod pending;
@@ -8,4 +9,4 @@
 pub(crate) use in_flight::InFlightRequest;
 pub(crate) use pending::{PendingRequest, QuotaGrant, WaitState};
 pub(crate) use received::ReceivedRequest;
-pub(crate) use table::RequestTable;
+pub(crate) use table::{LateGrant, RequestTable};
--- a/src/decisions/requests/pending.rs
+++ b/src/decisions/requests/pending.rs
@@ -3,7 +3,7 @@
 use super::ReceivedRequest;
 use crate::decisions::gossip::QuotaRequestId;
 use crate::events::GatewayId;
-use crate::units::Timestamp;
+use crate::units::{Milliseconds, Timestamp};
 
 /// A request that waits for its quota or for a permit.
 pub(crate) struct PendingRequest {
@@ -75,15 +75,21 @@
 }
 
 impl PendingRequest {
-    /// A request that waits for the owner's response until `waits_until`.
+    /// A request that has just arrived and waits for the owner's response. Without gossip there is none to
+    /// wait for.
     pub(crate) fn awaiting_owner(
         received: ReceivedRequest,
-        waits_until: Timestamp,
+        gossip_enabled: bool,
     ) -> PendingRequest {
+        let timeout = if gossip_enabled {
+            received.response_timeout()
+        } else {
+            Milliseconds::ZERO
+        };
         PendingRequest {
-            received,
+            waits_until: received.arrived_at + timeout,
             state: WaitState::AwaitingOwner,
-            waits_until,
+            received,
         }
     }
 
@@ -108,8 +114,8 @@
         }
     }
 
-    /// The request after the owner has responded that it is in the queue. A request that has its tokens already goes
-    /// on waiting for a permit of this gateway's own: the response was overtaken by the grant.
+    /// The request after the owner has responded that it is in the queue. A request that has its tokens
+    /// already goes on waiting for a permit of this gateway's own: the response was overtaken by the grant.
     pub(crate) fn on_queued(self) -> PendingRequest {
         match self.state {
             WaitState::AwaitingLocalPermit { grant } => {
--- a/src/decisions/requests/received.rs
+++ b/src/decisions/requests/received.rs
@@ -1,18 +1,19 @@
 //! What is known of a request from its arrival on, and the durations that it may wait.
 
-use crate::decisions::gossip::{QuotaRequest, QuotaRequestId};
-use crate::decisions::quota::{AccountId, LeaseRequest};
-use crate::events::{GatewayId, Request};
-use crate::records::PriorityTier;
-use crate::settings::RequestClass;
-use crate::units::{Milliseconds, Timestamp, Tokens};
+use crate::decisions::account::AccountId;
+use crate::decisions::gossip::QuotaRequestId;
+use crate::decisions::load_shedding::PriorityTier;
+use crate::events::Request;
+use crate::settings::Settings;
+use crate::units::{Milliseconds, Timestamp};
 
 /// The fraction of its latency objective for which a request may wait for a permit.
 const MAX_WAIT_FRACTION: f64 = 0.5;
-/// The fraction of the time until the client's deadline for which a request may wait. A client's retry may have little
-/// of it left.
+/// The fraction of the time until the client's deadline for which a request may wait. A client's retry may
+/// have little of it left.
 const MAX_CLIENT_WAIT_FRACTION: f64 = 0.5;
-/// The fraction of the latency objective after which an owner that has not responded is considered unavailable.
+/// The fraction of the latency objective after which an owner that has not responded is considered
+/// unavailable.
 const OWNER_TIMEOUT_FRACTION: f64 = 0.3;
 
 /// A request with what was determined on its arrival.
@@ -34,12 +35,12 @@
     /// A request that has arrived now.
     pub(crate) fn new(
         request: Request,
-        account: AccountId,
         tier: PriorityTier,
         quota_request: QuotaRequestId,
-        class: &RequestClass,
+        settings: &Settings,
         now: Timestamp,
     ) -> ReceivedRequest {
+        let class = settings.class(request.class);
         let latency_objective = class.latency_objective;
         let client_deadline = request.client_deadline;
         let client_wait =
@@ -53,8 +54,8 @@
             client_deadline.min(now + latency_objective)
         };
         ReceivedRequest {
+            account: AccountId::of(&request, settings.gateway_count),
             request,
-            account,
             tier,
             arrived_at: now,
             quota_request,
@@ -64,11 +65,6 @@
         }
     }
 
-    /// The cost of the request.
-    pub(crate) fn cost(&self) -> Tokens {
-        self.request.cost
-    }
-
     /// When the latency objective of the request ends, or its client stops waiting if that is earlier.
     pub(crate) fn objective_deadline(&self) -> Timestamp {
         let objective_ends_at = self.arrived_at + self.latency_objective;
@@ -80,27 +76,11 @@
         now - self.arrived_at <= self.latency_objective
     }
 
-    /// How long the request waits for the owner's response before it is sent again. Half of the time that the owner
-    /// has is for the request that is sent again. Without gossip there is no response to wait for.
-    pub(crate) fn response_timeout(&self, gossip_enabled: bool) -> Milliseconds {
-        if !gossip_enabled {
-            return Milliseconds::ZERO;
-        }
+    /// How long the request waits for the owner's response before it is sent again. Half of the time that the
+    /// owner has is for the request that is sent again.
+    pub(crate) fn response_timeout(&self) -> Milliseconds {
         let max_wait = self.wait_deadline - self.arrived_at;
         let owner_timeout = self.latency_objective * OWNER_TIMEOUT_FRACTION;
         owner_timeout.min(max_wait / 2.0) / 2.0
     }
-
-    /// The message that asks the owner for what the request needs.
-    pub(crate) fn quota_request(&self, lease: LeaseRequest, gateway: GatewayId) -> QuotaRequest {
-        QuotaRequest {
-            gateway,
-            id: self.quota_request,
-            cost: lease.cost,
-            prefetch: lease.prefetch,
-            demand: lease.demand,
-            needs_permit: lease.needs_permit,
-            expires_at: self.wait_deadline,
-        }
-    }
 }
--- a/src/decisions/requests/table.rs
+++ b/src/decisions/requests/table.rs
@@ -1,6 +1,7 @@
 //! The table of the requests of one gateway.
 
 use super::{InFlightRequest, PendingRequest, QuotaGrant, ReceivedRequest};
+use crate::decisions::context::EventContext;
 use crate::decisions::gossip::{QuotaRequestId, TenantKey};
 use crate::events::RequestId;
 use crate::units::{Milliseconds, Timestamp};
@@ -10,6 +11,17 @@
 /// Timers may fire early by this much.
 const TIMER_TOLERANCE: Milliseconds = Milliseconds(0.1);
 
+/// What a grant is used for that arrives after the wait for it has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum LateGrant {
+    /// It confirms a request that was forwarded without it.
+    Confirms,
+    /// It repeats the grant on which a request was forwarded.
+    Repeated,
+    /// No request uses it.
+    Unused,
+}
+
 /// Pending requests by the number of their quota request, and requests in flight by their own id.
 pub(crate) struct RequestTable {
     last_id: QuotaRequestId,
@@ -33,9 +45,40 @@
         self.last_id
     }
 
-    /// Adds a pending request.
-    pub(crate) fn insert_pending(&mut self, pending: PendingRequest) {
-        self.pending.insert(pending.received.quota_request, pending);
+    /// Adds a request that waits, and sets the timer for the end of its wait.
+    pub(crate) fn wait(&mut self, pending: PendingRequest, context: &mut EventContext) {
+        let delay = (pending.waits_until - context.now).max(Milliseconds::ZERO);
+        let id = pending.received.quota_request;
+        context.set_request_timer(id, delay);
+        self.pending.insert(id, pending);
+    }
+
+    /// Lets a request wait for one of the permits that this gateway has of its own, if one is likely to be
+    /// free in time. Returns the request otherwise.
+    pub(crate) fn wait_for_local_permit(
+        &mut self,
+        received: ReceivedRequest,
+        grant: QuotaGrant,
+        permits: u32,
+        context: &mut EventContext,
+    ) -> Option<ReceivedRequest> {
+        let position = self.count_awaiting_permit(received.account.tenant) + 1;
+        let expected_wait = context.mean_latency * position as f64 / f64::from(permits);
+        if context.now + expected_wait > received.wait_deadline {
+            return Some(received);
+        }
+        self.wait(
+            PendingRequest::awaiting_local_permit(received, grant),
+            context,
+        );
+        None
+    }
+
+    fn count_awaiting_permit(&self, tenant: TenantKey) -> usize {
+        let pending = self.pending.values();
+        pending
+            .filter(|pending| awaits_permit_of(pending, tenant))
+            .count()
     }
 
     /// Removes a pending request.
@@ -80,19 +123,15 @@
         self.pending.remove(&id)
     }
 
-    /// The number of a tenant's requests that wait for a permit.
-    pub(crate) fn count_awaiting_permit(&self, tenant: TenantKey) -> usize {
-        let pending = self.pending.values();
-        pending
-            .filter(|pending| awaits_permit_of(pending, tenant))
-            .count()
-    }
-
     /// Adds a request that is being forwarded.
-    pub(crate) fn insert_in_flight(&mut self, received: ReceivedRequest, grant: QuotaGrant) {
-        let id = received.request.id;
-        self.in_flight
-            .insert(id, InFlightRequest::new(received, grant));
+    pub(crate) fn insert_in_flight(
+        &mut self,
+        received: ReceivedRequest,
+        grant: QuotaGrant,
+    ) -> &mut InFlightRequest {
+        let entry = self.in_flight.entry(received.request.id);
+        let request = InFlightRequest::new(received, grant);
+        entry.insert_entry(request).into_mut()
     }
 
     /// A request in flight.
@@ -105,14 +144,18 @@
         self.in_flight.get_mut(&id)
     }
 
-    /// The request in flight with this quota request.
-    pub(crate) fn in_flight_by_quota_request(
-        &mut self,
-        id: QuotaRequestId,
-    ) -> Option<&mut InFlightRequest> {
-        self.in_flight
-            .values_mut()
-            .find(|request| request.received.quota_request == id)
+    /// Records the grant of a quota request that no pending request waits for.
+    pub(crate) fn confirm(&mut self, id: QuotaRequestId) -> LateGrant {
+        let mut in_flight = self.in_flight.values_mut();
+        let request = in_flight.find(|request| request.received.quota_request == id);
+        match request {
+            Some(request) if request.is_unconfirmed() => {
+                request.grant = QuotaGrant::Granted(id);
+                LateGrant::Confirms
+            }
+            Some(request) if request.grant.permit() == Some(id) => LateGrant::Repeated,
+            _ => LateGrant::Unused,
+        }
     }
 
     /// The request in flight that uses a permit, if its lease is due for a renewal.
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,8 +1,6 @@
 //! The decision engine of one gateway: takes in events, hands them to the decisions, and returns the actions.
 
-use crate::decisions::gossip::{GossipMessage, PermitId, TenantKey, decode};
-use crate::decisions::quota::AccountId;
-use crate::decisions::{Decisions, TimerPurpose};
+use crate::decisions::{AccountId, Decisions, GossipMessage, TenantKey, TimerPurpose, decode};
 use crate::events::{Action, Event, GatewayId};
 use crate::settings::{Settings, SettingsError};
 use crate::units::Timestamp;
@@ -56,7 +54,7 @@
     }
 
     fn on_gossip(&mut self, from: GatewayId, text: &str) {
-        self.decisions.report_unconfirmed_usage();
+        self.decisions.on_gossip();
         for (tenant, message) in decode(text, from, self.now) {
             match message {
                 GossipMessage::QuotaResponse {
@@ -64,9 +62,8 @@
                     decision,
                     state,
                 } => {
-                    self.decisions.on_owner_state(tenant, state);
                     self.decisions
-                        .on_quota_decision(tenant, from, request, decision);
+                        .on_quota_response(tenant, from, request, decision, state);
                 }
                 message => self.on_message_to_owner(from, tenant, message),
             }
@@ -82,29 +79,11 @@
             plan,
             owner: self.gateway,
         };
-        let permit_of = |request| PermitId {
-            gateway: from,
-            request,
-        };
         match message {
             GossipMessage::RequestQuota { request, .. } => {
                 self.decisions.on_quota_request(account, request);
             }
-            GossipMessage::SettleUsage { cost, permit, .. } => {
-                let permit = permit.map(permit_of);
-                self.decisions.on_settlement(account, cost, permit);
-            }
-            GossipMessage::ReportUnconfirmedUsage {
-                last_request, cost, ..
-            } => {
-                let last_request = permit_of(last_request);
-                self.decisions
-                    .on_unconfirmed_usage(account, last_request, cost);
-            }
-            GossipMessage::RenewPermit { permit, .. } => {
-                self.decisions.on_permit_renewal(account, permit_of(permit));
-            }
-            GossipMessage::QuotaResponse { .. } => {}
+            message => self.decisions.on_usage_message(account, from, message),
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -57,16 +57,18 @@
 struct Readme;
 
 mod decisions;
-mod endpoint_model;
 mod engine;
 mod events;
 pub mod gateway;
-mod records;
 mod settings;
 pub mod statistics;
+mod token_bucket;
 mod units;
 
+pub use decisions::load_shedding::{PriorityTier, PriorityTiers};
+pub use decisions::retries::RetryBudget;
 pub use engine::DecisionEngine;
 pub use events::*;
 pub use settings::*;
+pub use token_bucket::{BucketLimits, Refill, TokenBucket};
 pub use units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
