--- a/src/decisions/gossip/codec.rs
+++ b/src/decisions/gossip/codec.rs
@@ -1,6 +1,9 @@
 //! The text form of gossip messages. Numbers have one decimal; keys and request numbers are hexadecimal.
 
-use super::{GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey};
+use super::{
+    GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse,
+    TenantKey,
+};
 use crate::events::{GatewayId, PlanIndex};
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
@@ -31,11 +34,7 @@
         GossipMessage::RenewPermit { plan, permit } => {
             format!("k,{key:x},{plan},{:x};", permit.0)
         }
-        GossipMessage::QuotaResponse {
-            request,
-            decision,
-            state,
-        } => encode_response(key, request, decision, &state),
+        GossipMessage::QuotaResponse(response) => encode_response(key, &response),
     }
 }
 
@@ -53,13 +52,9 @@
     format!("{kind},{key:x},{plan},{number:x},{cost:.1},{prefetch:.1},{demand:.1},{valid_for:.0};")
 }
 
-fn encode_response(
-    key: u64,
-    QuotaRequestId(number): QuotaRequestId,
-    decision: QuotaDecision,
-    state: &OwnerState,
-) -> String {
-    let (code, Tokens(cost)) = match decision {
+fn encode_response(key: u64, response: &QuotaResponse) -> String {
+    let QuotaRequestId(number) = response.request;
+    let (code, Tokens(cost)) = match response.decision {
         QuotaDecision::Denied => (DENIED, Tokens::ZERO),
         QuotaDecision::Granted { cost } => (GRANTED, cost),
         QuotaDecision::Queued => (QUEUED, Tokens::ZERO),
@@ -68,7 +63,7 @@
         demand: TokensPerSecond(demand),
         granted: TokensPerSecond(granted),
         tokens: Tokens(tokens),
-    } = *state;
+    } = response.state;
     format!("g,{key:x},{code},{number:x},{cost:.1},{demand:.1},{granted:.1},{tokens:.1};")
 }
 
@@ -142,11 +137,11 @@
         granted: TokensPerSecond(fields.number(6)?),
         tokens: Tokens(fields.signed_number(7)?),
     };
-    Some(GossipMessage::QuotaResponse {
+    Some(GossipMessage::QuotaResponse(QuotaResponse {
         request: fields.request_id(3)?,
         decision,
         state,
-    })
+    }))
 }
 
 /// The fields of one item.
--- a/src/decisions/gossip/messages.rs
+++ b/src/decisions/gossip/messages.rs
@@ -95,6 +95,14 @@
     pub tokens: Tokens,
 }
 
+/// The owner's response to a quota request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct QuotaResponse {
+    pub request: QuotaRequestId,
+    pub decision: QuotaDecision,
+    pub state: OwnerState,
+}
+
 /// A message about one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipMessage {
@@ -121,11 +129,7 @@
         permit: QuotaRequestId,
     },
     /// From the owner: its decision on a request.
-    QuotaResponse {
-        request: QuotaRequestId,
-        decision: QuotaDecision,
-        state: OwnerState,
-    },
+    QuotaResponse(QuotaResponse),
 }
 
 impl GossipMessage {
@@ -136,7 +140,7 @@
             | GossipMessage::SettleUsage { plan, .. }
             | GossipMessage::ReportUnconfirmedUsage { plan, .. }
             | GossipMessage::RenewPermit { plan, .. } => Some(plan),
-            GossipMessage::QuotaResponse { .. } => None,
+            GossipMessage::QuotaResponse(_) => None,
         }
     }
 }
--- a/src/decisions/gossip/mod.rs
+++ b/src/decisions/gossip/mod.rs
@@ -10,6 +10,7 @@
 
 pub(crate) use codec::decode;
 pub(crate) use messages::{
-    GossipMessage, OwnerState, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey,
+    GossipMessage, OwnerState, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId,
+    QuotaResponse, TenantKey,
 };
 pub(crate) use outbox::GossipOutbox;
--- a/src/decisions/quota/client/mod.rs
+++ b/src/decisions/quota/client/mod.rs
@@ -5,6 +5,7 @@
 
 mod fallback_quota;
 mod local_permits;
+mod polling;
 mod prefetch;
 mod unconfirmed_usage;
 
@@ -16,17 +17,13 @@
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 use fallback_quota::FallbackQuota;
 use local_permits::LocalPermits;
+use polling::{PollCredit, poll_probability, sustainable_rate};
 use prefetch::PrefetchedTokens;
 
 pub(super) use unconfirmed_usage::UnconfirmedUsage;
 
 /// The time constant with which the demand in the owner's last state decays.
 const OWNER_STATE_DECAY: Milliseconds = Milliseconds(2000.0);
-/// The owner is asked for at most this multiple of what it granted, or can grant. Further requests are
-/// rejected without asking it.
-const POLL_HEADROOM: f64 = 1.5;
-/// Requests are expected to hold a permit at least this long.
-const MIN_PERMIT_DURATION: Milliseconds = Milliseconds(1.0);
 
 /// How a request gets its tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -73,8 +70,7 @@
 pub(crate) struct QuotaClient {
     permits: LocalPermits,
     owner_state: Option<ReceivedState>,
-    /// The sum of the poll probabilities of recent requests. A request that asks the owner takes 1 of it.
-    poll_credit: f64,
+    poll_credit: PollCredit,
     /// The demand at this gateway, in tokens per second, as of the last request.
     demand: DecayingValue,
     unreported_demand: Tokens,
@@ -88,7 +84,7 @@
         QuotaClient {
             permits: LocalPermits::default(),
             owner_state: None,
-            poll_credit,
+            poll_credit: PollCredit::new(poll_credit),
             demand: DecayingValue::default(),
             unreported_demand: Tokens::ZERO,
             prefetched: PrefetchedTokens::new(),
@@ -104,24 +100,21 @@
         settings: &Settings,
         conditions: Conditions,
     ) -> LeaseDecision {
-        let Conditions { now, mean_latency } = conditions;
-        let plan = settings.plan(account.plan);
-        let cost = request.cost;
+        let (plan, now) = (settings.plan(account.plan), conditions.now);
+        let (cost, gossip_enabled) = (request.cost, settings.gossip_enabled);
         let shard_size = shard_size(request, settings.gateway_count);
-        self.fallback
-            .refill(plan, shard_size, settings.gossip_enabled, now);
+        self.fallback.refill(plan, shard_size, gossip_enabled, now);
         let needs_permit = self.permits.divide(plan.max_concurrency, shard_size);
-        let sustainable = sustainable_rate(plan, cost, needs_permit, mean_latency);
-        let poll_probability = self.poll_probability(cost, sustainable, now);
+        let sustainable = sustainable_rate(plan, cost, needs_permit, conditions.mean_latency);
+        let (demand, granted) = self.reported_rates(now);
+        let poll_probability = poll_probability(demand, granted, sustainable, cost);
         self.demand.add_event(cost.as_f64(), now, DEMAND_WINDOW);
         let uses_prefetched = !needs_permit && self.prefetched.try_take(cost, now);
         let owner_is_local = account.owner == settings.gateway;
-        self.poll_credit += poll_probability;
-        if self.poll_credit < 1.0 && !owner_is_local && !uses_prefetched {
+        let exempt = owner_is_local || uses_prefetched;
+        if !self.poll_credit.try_poll(poll_probability, exempt) {
             return LeaseDecision::Reject;
         }
-        // No more than another poll is saved up.
-        self.poll_credit = (self.poll_credit - 1.0).clamp(0.0, 1.0);
         // The request stands for those that were rejected without asking the owner.
         self.unreported_demand += cost / poll_probability;
         let expired = self.prefetched.take_expired(now);
@@ -133,59 +126,57 @@
                 needs_permit,
             });
         }
-        let lease = if settings.gossip_enabled {
-            self.lease_request(cost, uses_prefetched, needs_permit, now)
-        } else {
-            None
-        };
         if uses_prefetched {
-            LeaseDecision::UsePrefetched { replenish: lease }
+            let replenish = self.replenish_request(cost, gossip_enabled, now);
+            return LeaseDecision::UsePrefetched { replenish };
+        }
+        let lease = gossip_enabled.then(|| self.lease_request(cost, needs_permit, now));
+        LeaseDecision::AskOwner { lease, expired }
+    }
+
+    /// The owner is asked for the cost of a request and, where that needs no permit, for a prefetch.
+    fn lease_request(&mut self, cost: Tokens, needs_permit: bool, now: Timestamp) -> LeaseRequest {
+        let prefetch = if needs_permit {
+            Tokens::ZERO
         } else {
-            LeaseDecision::AskOwner { lease, expired }
+            self.prefetched.request(self.demand(), cost, now)
+        };
+        LeaseRequest {
+            cost,
+            prefetch,
+            demand: std::mem::take(&mut self.unreported_demand),
+            needs_permit,
         }
     }
 
-    /// Takes the demand to report, and records the prefetch as requested. `None` if prefetched tokens cover
-    /// the request and no more are wanted.
-    fn lease_request(
+    /// After a request that prefetched tokens cover, the owner is asked for a prefetch alone, if one is
+    /// wanted.
+    fn replenish_request(
         &mut self,
         cost: Tokens,
-        uses_prefetched: bool,
-        needs_permit: bool,
+        gossip_enabled: bool,
         now: Timestamp,
     ) -> Option<LeaseRequest> {
-        let prefetch = if needs_permit {
-            Tokens::ZERO
-        } else {
-            self.prefetched.wanted(self.demand(), cost, now)
-        };
-        if uses_prefetched && prefetch <= Tokens::ZERO {
+        if !gossip_enabled {
             return None;
         }
-        if prefetch > Tokens::ZERO {
-            self.prefetched.on_requested(now);
-        }
-        Some(LeaseRequest {
-            cost: if uses_prefetched { Tokens::ZERO } else { cost },
+        let prefetch = self.prefetched.request(self.demand(), cost, now);
+        (prefetch > Tokens::ZERO).then(|| LeaseRequest {
+            cost: Tokens::ZERO,
             prefetch,
             demand: std::mem::take(&mut self.unreported_demand),
-            needs_permit,
+            needs_permit: false,
         })
     }
 
-    /// The probability with which a request asks the owner: adaptive throttling ("Handling Overload" in the
-    /// SRE book) on the demand and the grants that the owner reported. What the quota can sustain is asked
-    /// for in any case, since otherwise the grants, which follow the requests, would sink further and
-    /// further.
-    fn poll_probability(&self, cost: Tokens, sustainable: TokensPerSecond, now: Timestamp) -> f64 {
-        let reported = self.owner_state.map(|ReceivedState { at, state }| {
-            let decay = exponential_decay(now - at, OWNER_STATE_DECAY);
-            (state.demand * decay, state.granted)
-        });
-        let (demand, granted) = reported.unwrap_or_default();
-        let accepted = granted.max(sustainable) * POLL_HEADROOM;
-        let excess = demand - accepted;
-        1.0 - (excess.as_f64() / (demand.as_f64() + cost.as_f64())).max(0.0)
+    /// The rates of demand and of grants that the owner reported. The demand decays since, as the traffic may
+    /// have ended.
+    fn reported_rates(&self, now: Timestamp) -> (TokensPerSecond, TokensPerSecond) {
+        let Some(ReceivedState { at, state }) = self.owner_state else {
+            return (TokensPerSecond::ZERO, TokensPerSecond::ZERO);
+        };
+        let decay = exponential_decay(now - at, OWNER_STATE_DECAY);
+        (state.demand * decay, state.granted)
     }
 
     /// Decides whether a request is forwarded although the owner has not responded: in the proportion that
@@ -259,22 +250,3 @@
         TokensPerSecond(self.demand.last_value())
     }
 }
-
-/// The rate that the quota can sustain, and the permits too where the gateways share them.
-fn sustainable_rate(
-    plan: &Plan,
-    cost: Tokens,
-    needs_permit: bool,
-    mean_latency: Milliseconds,
-) -> TokensPerSecond {
-    let refill_rate = if plan.refill_rate > TokensPerSecond::ZERO {
-        plan.refill_rate
-    } else {
-        TokensPerSecond::INFINITY
-    };
-    if !needs_permit {
-        return refill_rate;
-    }
-    let tokens_in_flight = cost * f64::from(plan.max_concurrency);
-    refill_rate.min(tokens_in_flight.per(mean_latency.max(MIN_PERMIT_DURATION)))
-}
--- a/src/decisions/quota/client/prefetch.rs
+++ b/src/decisions/quota/client/prefetch.rs
@@ -44,20 +44,20 @@
         }
     }
 
-    /// The tokens to lease in advance at this demand: none where they are less than the cost of a request, or
-    /// where some were requested just now.
-    pub(super) fn wanted(&self, demand: TokensPerSecond, cost: Tokens, now: Timestamp) -> Tokens {
+    /// The tokens to lease in advance at this demand, which count as requested now: none where they are less
+    /// than the cost of a request, or where some were requested just now.
+    pub(super) fn request(
+        &mut self,
+        demand: TokensPerSecond,
+        cost: Tokens,
+        now: Timestamp,
+    ) -> Tokens {
         let missing = demand.over(PREFETCH_HORIZON) - self.tokens;
-        if missing < cost || self.age(now) < PREFETCH_PAUSE {
-            Tokens::ZERO
-        } else {
-            missing
+        if missing < cost || missing <= Tokens::ZERO || self.age(now) < PREFETCH_PAUSE {
+            return Tokens::ZERO;
         }
-    }
-
-    /// Records that tokens were requested in advance.
-    pub(super) fn on_requested(&mut self, now: Timestamp) {
         self.requested_at = now;
+        missing
     }
 
     /// Keeps unused tokens for later requests, if these are likely to use them. Returns whether it did.
--- a/src/decisions/quota/owner_side.rs
+++ b/src/decisions/quota/owner_side.rs
@@ -5,7 +5,7 @@
 use crate::decisions::account::AccountId;
 use crate::decisions::context::EventContext;
 use crate::decisions::gossip::{
-    GossipMessage, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId,
+    GossipMessage, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse,
 };
 use crate::events::GatewayId;
 use crate::units::{Milliseconds, Timestamp, Tokens};
@@ -55,11 +55,11 @@
         let Some(tenant) = self.tenants.get(account.tenant) else {
             return;
         };
-        let response = GossipMessage::QuotaResponse {
+        let response = GossipMessage::QuotaResponse(QuotaResponse {
             request: request.id,
             decision,
             state: tenant.owner.state(),
-        };
+        });
         let max_delay = Milliseconds::ZERO;
         context.send(request.gateway, account.tenant, &response, max_delay);
     }
@@ -92,7 +92,7 @@
                     .advanced_owner(account, &self.settings, context);
                 self.renew_as_owner(account, permit_of(permit), context.now);
             }
-            GossipMessage::RequestQuota { .. } | GossipMessage::QuotaResponse { .. } => {}
+            GossipMessage::RequestQuota { .. } | GossipMessage::QuotaResponse(_) => {}
         }
         Vec::new()
     }
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -6,10 +6,10 @@
 use super::Decisions;
 use super::account::AccountId;
 use super::gossip::{
-    GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, TenantKey,
+    GossipMessage, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse, TenantKey,
 };
 use super::quota::{QueuedDecision, Settlement, Unused, schedule_renewal};
-use super::requests::{LateGrant, PendingRequest, QuotaGrant, ReceivedRequest};
+use super::requests::{LateGrant, QuotaGrant, ReceivedRequest};
 use crate::events::GatewayId;
 use crate::units::Tokens;
 
@@ -65,12 +65,15 @@
         &mut self,
         tenant: TenantKey,
         owner: GatewayId,
-        id: QuotaRequestId,
-        decision: QuotaDecision,
-        state: OwnerState,
+        response: QuotaResponse,
     ) {
+        let QuotaResponse {
+            request,
+            decision,
+            state,
+        } = response;
         self.quotas.set_owner_state(tenant, state, self.context.now);
-        self.on_quota_decision(tenant, owner, id, decision);
+        self.on_quota_decision(tenant, owner, request, decision);
     }
 
     fn on_quota_decision(
@@ -80,8 +83,12 @@
         id: QuotaRequestId,
         decision: QuotaDecision,
     ) {
-        match (self.requests.remove_pending(id), decision) {
-            (Some(PendingRequest { received, .. }), QuotaDecision::Granted { cost }) => {
+        let Some(pending) = self.requests.remove_pending(id) else {
+            return self.on_late_decision(tenant, owner, id, decision);
+        };
+        match decision {
+            QuotaDecision::Granted { cost } => {
+                let received = pending.received;
                 // A repeated grant contains no tokens.
                 if cost > Tokens::ZERO {
                     let prefetched = Unused::tokens(cost - received.request.cost);
@@ -89,25 +96,32 @@
                 }
                 self.admit(received, QuotaGrant::Granted(id));
             }
-            (Some(pending), QuotaDecision::Denied) => self.reject(&pending.received.request),
-            (Some(pending), QuotaDecision::Queued) => {
-                self.requests.wait(pending.on_queued(), &mut self.context);
+            QuotaDecision::Denied => self.reject(&pending.received.request),
+            QuotaDecision::Queued => self.requests.wait(pending.on_queued(), &mut self.context),
+        }
+    }
+
+    /// A grant that arrives when the request no longer waits for it confirms that request, if it was
+    /// forwarded without one. Otherwise the grant is returned.
+    fn on_late_decision(
+        &mut self,
+        tenant: TenantKey,
+        owner: GatewayId,
+        id: QuotaRequestId,
+        decision: QuotaDecision,
+    ) {
+        let QuotaDecision::Granted { cost: tokens } = decision else {
+            return;
+        };
+        match self.requests.confirm(id) {
+            LateGrant::Confirms => {
+                schedule_renewal(id, &mut self.context);
+            }
+            LateGrant::Repeated => {}
+            LateGrant::Unused => {
+                let permit = Some(id);
+                self.return_to_owner(tenant, owner, Unused { tokens, permit });
             }
-            (None, QuotaDecision::Granted { cost }) => match self.requests.confirm(id) {
-                LateGrant::Confirms => {
-                    schedule_renewal(id, &mut self.context);
-                }
-                LateGrant::Repeated => {}
-                LateGrant::Unused => self.return_to_owner(
-                    tenant,
-                    owner,
-                    Unused {
-                        tokens: cost,
-                        permit: Some(id),
-                    },
-                ),
-            },
-            (None, _) => {}
         }
     }
 
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -57,13 +57,8 @@
         self.decisions.on_gossip();
         for (tenant, message) in decode(text, from, self.now) {
             match message {
-                GossipMessage::QuotaResponse {
-                    request,
-                    decision,
-                    state,
-                } => {
-                    self.decisions
-                        .on_quota_response(tenant, from, request, decision, state);
+                GossipMessage::QuotaResponse(response) => {
+                    self.decisions.on_quota_response(tenant, from, response);
                 }
                 message => self.on_message_to_owner(from, tenant, message),
             }
