--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -146,7 +146,8 @@
         self.reject(&pending.received.request);
     }
 
-    /// Returns the tokens of a request that waited in vain for one of this gateway's own permits.
+    /// Returns the tokens of a request whose wait for one of this gateway's own permits has ended without
+    /// one.
     fn cancel_waiting(&mut self, pending: &PendingRequest) {
         let received = &pending.received;
         if pending.awaits_permit() && self.quotas.has_local_permits(received.account) {
@@ -276,8 +277,8 @@
         }
     }
 
-    /// Transfers a shared permit to the tenant's next request at this gateway, since it would be unused for a
-    /// while if the owner was asked each time. Releases it if no request waits.
+    /// Transfers a shared permit to the tenant's next request at this gateway, since each message to the
+    /// owner would leave it unused for a while. Releases it if no request waits.
     fn transfer_permit(&mut self, account: AccountId, permit: QuotaRequestId) {
         let Some(next) = self.requests.remove_oldest(account.tenant) else {
             return self.settle(Settlement::of_permit(account, permit));
--- a/src/decisions/quota/client/unconfirmed_usage.rs
+++ b/src/decisions/quota/client/unconfirmed_usage.rs
@@ -5,7 +5,7 @@
 use crate::units::Tokens;
 use std::collections::BTreeMap;
 
-/// For each tenant the usage that its owner has not been told of yet.
+/// For each tenant, the usage that has not been reported to its owner yet.
 #[derive(Default)]
 pub(crate) struct UnconfirmedUsage {
     by_tenant: BTreeMap<TenantKey, Usage>,
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -108,7 +108,7 @@
     }
 
     /// Decides whether a request is forwarded although its owner has not responded, given a random number
-    /// between 0 and 1. Its cost is recorded, to be reported when other gateways are heard from again.
+    /// between 0 and 1. Its cost is recorded, and reported to the owner when gossip arrives again.
     pub(crate) fn admit_unconfirmed(&mut self, received: &ReceivedRequest, draw: f64) -> bool {
         let (account, request) = (received.account, &received.request);
         let plan = self.settings.plan(account.plan);
@@ -126,7 +126,7 @@
         true
     }
 
-    /// Reports the usage of requests that were forwarded without a response to the owners.
+    /// Reports to the owners the usage of requests that were forwarded without their response.
     pub(crate) fn report_unconfirmed_usage(&mut self, context: &mut EventContext) {
         for (account, report) in self.unconfirmed_usage.take_reports() {
             context.send_to_owner(account, &report, Milliseconds::ZERO);
--- a/src/decisions/quota/settlement.rs
+++ b/src/decisions/quota/settlement.rs
@@ -52,8 +52,7 @@
         }
     }
 
-    /// How long the message to the owner may wait for a datagram; `None` if there is nothing to tell the
-    /// owner.
+    /// How long the message to the owner may wait for a datagram; `None` if no message is needed.
     pub(crate) fn max_delay(&self, settings: &Settings) -> Option<Milliseconds> {
         let has_quota = settings.plan(self.account.plan).refill_rate > TokensPerSecond::ZERO;
         if self.permit.is_some() {
--- a/src/decisions/requests/pending.rs
+++ b/src/decisions/requests/pending.rs
@@ -30,7 +30,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaGrant {
     /// Nothing that the owner has confirmed: its response did not come in time.
-    Unconfirmed { waited_for_permit: bool },
+    Unconfirmed {
+        /// Whether the request has waited for a permit of this gateway's own since. Only then are its tokens
+        /// returned if it is rejected after all.
+        waited_for_permit: bool,
+    },
     /// Tokens that the owner granted in advance.
     Prefetched,
     /// The owner's grant of this request, and its permit where the gateways of the shard share the permits.
