--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -81,10 +81,12 @@
         self.context.finish_event()
     }
 
+    /// The gossip timer has fired.
     pub(crate) fn on_gossip_timer(&mut self) {
         self.context.on_gossip_timer();
     }
 
+    /// Discovery has sent an endpoint list.
     pub(crate) fn on_endpoints_changed(&mut self, kind: EndpointListKind, list: Vec<Endpoint>) {
         self.forwarding
             .apply_endpoint_list(kind, list, &self.context);
--- a/src/decisions/quota/client/fallback_quota.rs
+++ b/src/decisions/quota/client/fallback_quota.rs
@@ -7,7 +7,7 @@
 use crate::token_bucket::{BucketLimits, TokenBucket};
 use crate::units::{Timestamp, Tokens};
 
-/// An even part of a tenant's quota and of its hard limit for one gateway of the shard.
+/// What one gateway of a shard may use of a tenant's quota and of its hard limit: an even share of each.
 pub(super) struct FallbackQuota {
     quota: TokenBucket,
     hard_limit: TokenBucket,
--- a/src/decisions/quota/permit_lease.rs
+++ b/src/decisions/quota/permit_lease.rs
@@ -10,7 +10,7 @@
 
 /// The duration of a lease, in mean latencies.
 const LEASE_LATENCIES: f64 = 6.0;
-/// Added to the mean latency, for the way of a message between gateways.
+/// Added to the mean latency, for the delay of a message between gateways.
 const LATENCY_MARGIN: Milliseconds = Milliseconds(20.0);
 /// How often the holder of a permit renews it within a lease, so that one lost message does not end the
 /// lease.
--- a/tests/decisions/hard_limits.rs
+++ b/tests/decisions/hard_limits.rs
@@ -146,7 +146,7 @@
     .run();
     assert!(
         (25..=MAX_FORWARDED).contains(&forwarded),
-        "expected 25 to {MAX_FORWARDED} at one gateway, whose fallback allotment is 10, got {forwarded}"
+        "expected 25 to {MAX_FORWARDED} at one gateway, whose fallback quota is 10, got {forwarded}"
     );
 }
 
--- a/tests/decisions/quota_leases.rs
+++ b/tests/decisions/quota_leases.rs
@@ -9,7 +9,7 @@
 use marlshelf::{Action, Event, GatewayId, Milliseconds, Settings, TimerToken, TokensPerSecond};
 
 #[test]
-fn request_is_forwarded_from_the_fallback_allotment_when_the_owner_stays_silent() {
+fn request_is_forwarded_on_the_fallback_quota_when_the_owner_does_not_respond() {
     let mut pair = GatewayPair::new(&settings());
     pair.partitioned = true;
     for gateway in [0, 1] {
@@ -32,7 +32,7 @@
         assert_eq!(
             forwarded_count(&timed_out),
             1,
-            "the fallback allotment covers the request"
+            "the fallback quota covers the request"
         );
     }
 }
