--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,132 +1,293 @@
-//! The decisions of one gateway, without input, output or a clock. Events in, actions out: `src/events.rs`.
+//! The decisions of one gateway, without input, output or a clock. Events and actions: `src/events.rs`.
 //!
-//! A request meets them in this order: the quota of its tenant, a token bucket that its owner keeps and that
-//! follows the demand measured here; load shedding, which rejects at once with the probability max(0,
-//! (requests - K x accepts) / (requests + 1)), low priority first; the choice of an endpoint; retries.
+//! The life of a request:
 //!
-//! Each component owns its state. The engine dispatches events and passes on what one component needs of
-//! another. Tables, pools and message types are in `crate::records` and `crate::gossip`, estimators in
-//! `crate::statistics`.
+//! 1. Its tenant's quota ([`quota`]): tokens were leased in advance, or the owner of the quota grants them. A
+//!    request may wait for the owner's response and for a concurrency permit ([`requests`]).
+//! 2. Load shedding may reject it, low priority first; otherwise load balancing chooses an endpoint and the
+//!    first attempt starts. A failed attempt is followed by another, if that is safe and the budget allows it
+//!    ([`forwarding`]).
+//! 3. Its permit is transferred to the next request or released, and usage that differs from the grant is
+//!    settled.
+//!
+//! [`Decisions`] coordinates these components. Each owns its state and uses none of the others. This file has
+//! the life of a request, `quota_exchange.rs` what passes between this gateway and the owners of quotas.
 
-mod admission;
-mod attempts;
+mod account;
+mod context;
 mod fleet_scale;
 mod forwarding;
+mod gossip;
 mod load_balancing;
 pub(crate) mod load_shedding;
-mod permit_renewal;
-mod quota_client;
+mod quota;
 mod quota_exchange;
-mod quota_owner;
+mod requests;
 pub(crate) mod retries;
 
-use crate::events::{Action, Endpoint, EndpointListKind};
-use crate::gossip::QuotaRequestId;
-use crate::records::{ActionSink, OutboxLimits, RequestTable, Tenant, Tenants, UnconfirmedUsage};
+use crate::events::{Action, AttemptOutcome, Endpoint, EndpointListKind, Request, RequestId};
 use crate::settings::Settings;
-use crate::units::Timestamp;
-use fleet_scale::fleet_scale;
-use load_balancing::LoadBalancer;
-use load_shedding::LoadShedder;
-use rand::SeedableRng;
-use rand_pcg::Pcg64Mcg;
-use retries::RetryPolicy;
+use crate::units::{Timestamp, Tokens};
+use context::EventContext;
+use forwarding::{FinalAnswer, Forwarding, NextStep, RequestEnd};
+use gossip::{QuotaDecision, QuotaRequestId};
+use load_shedding::RequestOutcome;
+use quota::{FreedPermit, LeaseDecision, LeaseRequest, LocalCheck, Quotas, Settlement};
+use rand::Rng;
+use requests::{
+    InFlightRequest, PendingRequest, QuotaGrant, ReceivedRequest, RequestTable, WaitState,
+};
 use std::sync::Arc;
 
-/// Demand is remembered for about this long: long enough to count slow tenants, short enough to follow those
-/// whose traffic moves to other gateways.
-const DEMAND_WINDOW_MS: f64 = 2000.0;
-/// The part of a hard limit that gateways may use without asking, in even allotments; the owner leases the
-/// rest.
-const FALLBACK_FRACTION: f64 = 0.25;
-/// The part of a peer's intake that the datagrams of one of few gateways may fill, a tenth of a second's at
-/// one stroke. One of many gateways may send so many times as much, as its datagrams go to as many peers.
-const INTAKE_FRACTION: f64 = 0.75;
-const INTAKE_BURST_SECONDS: f64 = 0.1;
-const LARGE_FLEET_INTAKE_MULTIPLE: f64 = 4.0;
-const DATAGRAM_BYTES: usize = 256;
-const GOSSIP_TIMER_RESOLUTION_MS: f64 = 1.0;
-/// Tenants idle for this long are forgotten: by then every bucket is full again.
-const TENANT_IDLE_MS: f64 = 60_000.0;
+pub(crate) use account::AccountId;
+pub(crate) use context::TimerPurpose;
+pub(crate) use gossip::{GossipMessage, TenantKey, decode};
+
 /// The bits of the seed from which quota requests are numbered.
 const FIRST_QUOTA_REQUEST_MASK: u64 = 0xff_ffff;
 
-/// All decisions of one gateway, and the requests and tenants that they are about.
+/// Coordinates the components that decide for one gateway.
 pub(crate) struct Decisions {
     settings: Arc<Settings>,
-    rng: Pcg64Mcg,
-    now_ms: f64,
-    tenants: Tenants,
+    quotas: Quotas,
     requests: RequestTable,
-    unconfirmed_usage: UnconfirmedUsage,
-    load_shedder: LoadShedder,
-    load_balancer: LoadBalancer,
-    retry_policy: RetryPolicy,
-    actions: ActionSink,
-}
-
-fn outbox_limits(settings: &Settings) -> OutboxLimits {
-    let multiple = 1.0 + (LARGE_FLEET_INTAKE_MULTIPLE - 1.0) * fleet_scale(settings);
-    let datagrams_per_second =
-        INTAKE_FRACTION * settings.gossip_intake_per_second.max(1.0) * multiple;
-    let burst = (INTAKE_BURST_SECONDS * datagrams_per_second).max(1.0);
-    OutboxLimits {
-        datagrams_per_second,
-        burst,
-        datagram_bytes: DATAGRAM_BYTES,
-        timer_resolution_ms: GOSSIP_TIMER_RESOLUTION_MS,
-    }
+    forwarding: Forwarding,
+    context: EventContext,
 }
 
 impl Decisions {
     /// A gateway that has just started and knows nothing yet.
     pub(crate) fn new(settings: Arc<Settings>, seed: u64) -> Decisions {
+        let forwarding = Forwarding::new(&settings);
+        // Owners may still know requests of an earlier incarnation of this gateway, and respond to them.
+        let last_request = QuotaRequestId(seed & FIRST_QUOTA_REQUEST_MASK);
         Decisions {
-            rng: Pcg64Mcg::seed_from_u64(seed),
-            now_ms: 0.0,
-            tenants: Tenants::new(),
-            // Owners still know requests of this gateway's earlier incarnation, and may still respond to
-            // them.
-            requests: RequestTable::numbered_from(QuotaRequestId(seed & FIRST_QUOTA_REQUEST_MASK)),
-            unconfirmed_usage: UnconfirmedUsage::default(),
-            load_shedder: LoadShedder::new(settings.clone()),
-            load_balancer: LoadBalancer::new(settings.clone()),
-            retry_policy: RetryPolicy::new(settings.clone()),
-            actions: ActionSink::new(outbox_limits(&settings)),
+            quotas: Quotas::new(settings.clone()),
+            requests: RequestTable::with_last_id(last_request),
+            context: EventContext::new(&settings, forwarding.mean_latency(), seed),
+            forwarding,
             settings,
         }
     }
 
-    /// The time of the event that follows.
-    pub(crate) fn set_time(&mut self, now_ms: f64) {
-        self.now_ms = now_ms;
-        self.actions.set_time(now_ms);
+    /// Sets the time of the event that follows.
+    pub(crate) fn set_time(&mut self, now: Timestamp) {
+        self.context.now = now;
     }
 
-    pub(crate) fn on_endpoints_changed(
+    /// Sends the gossip that is due, forgets idle tenants, and returns the actions of the event.
+    pub(crate) fn finish_event(&mut self) -> Vec<Action> {
+        self.quotas.evict_idle(self.context.now);
+        self.context.finish_event()
+    }
+
+    /// The gossip timer has fired.
+    pub(crate) fn on_gossip_timer(&mut self) {
+        self.context.on_gossip_timer();
+    }
+
+    /// Discovery has sent an endpoint list.
+    pub(crate) fn on_endpoints_changed(&mut self, kind: EndpointListKind, list: Vec<Endpoint>) {
+        self.forwarding
+            .apply_endpoint_list(kind, list, &self.context);
+    }
+
+    /// A client has sent a request.
+    pub(crate) fn on_request(&mut self, request: Request) {
+        let Some(tier) = self.forwarding.request_arrived(&request) else {
+            return self.reject(&request);
+        };
+        let id = self.requests.next_id();
+        let received = ReceivedRequest::new(request, tier, id, &self.settings, self.context.now);
+        match self.quotas.request(&received, &mut self.context) {
+            LeaseDecision::Reject => self.reject(&received.request),
+            LeaseDecision::DecideAsOwner(lease) => self.decide_own_request(received, lease),
+            LeaseDecision::UsePrefetched { replenish } => {
+                self.quotas
+                    .ask_owner(&received, replenish, &mut self.context);
+                self.admit(received, QuotaGrant::Prefetched);
+            }
+            LeaseDecision::AskOwner { lease, expired } => {
+                self.quotas.ask_owner(&received, lease, &mut self.context);
+                self.settle(Settlement::of_tokens(received.account, -expired));
+                let gossip_enabled = self.settings.gossip_enabled;
+                let pending = PendingRequest::awaiting_owner(received, gossip_enabled);
+                self.requests.wait(pending, &mut self.context);
+            }
+        }
+    }
+
+    fn decide_own_request(&mut self, received: ReceivedRequest, lease: LeaseRequest) {
+        let request = self.quotas.quota_request(&received, lease);
+        match self.decide_as_owner(received.account, request) {
+            QuotaDecision::Granted { .. } => self.admit(received, QuotaGrant::Granted(request.id)),
+            QuotaDecision::Denied => self.reject(&received.request),
+            QuotaDecision::Queued => {
+                let pending = PendingRequest::queued_by_owner(received);
+                self.requests.wait(pending, &mut self.context);
+            }
+        }
+    }
+
+    /// The timer of a request has fired: its wait has ended, or the lease of its permit is to be renewed.
+    pub(crate) fn on_request_timer(&mut self, id: QuotaRequestId) {
+        let Some(pending) = self.requests.remove_expired(id, self.context.now) else {
+            return self.renew_permit(id);
+        };
+        let received = &pending.received;
+        if self.settings.gossip_enabled && pending.state == WaitState::AwaitingOwner {
+            self.quotas.ask_owner_again(received, &mut self.context);
+            let pending = pending.awaiting_owner_again();
+            return self.requests.wait(pending, &mut self.context);
+        }
+        let draw = self.context.rng.random::<f64>();
+        if !pending.awaits_permit() && self.quotas.admit_unconfirmed(received, draw) {
+            return self.admit(pending.received, QuotaGrant::UNCONFIRMED);
+        }
+        self.cancel_waiting(&pending);
+        self.reject(&pending.received.request);
+    }
+
+    /// Returns the tokens of a request whose wait for one of this gateway's own permits has ended without
+    /// one.
+    fn cancel_waiting(&mut self, pending: &PendingRequest) {
+        let received = &pending.received;
+        if pending.awaits_permit() && self.quotas.has_local_permits(received.account) {
+            self.return_unused(received, pending.leased_permit());
+        }
+    }
+
+    /// Forwards a request that its quota covers, if this gateway's own permits, the hard limit, the load
+    /// shedder and the endpoints allow it.
+    fn admit(&mut self, received: ReceivedRequest, grant: QuotaGrant) {
+        let hard_limit_cost = match self.quotas.check_locally(&received, grant) {
+            LocalCheck::Passed { hard_limit_cost } => hard_limit_cost,
+            LocalCheck::OverHardLimit => return self.reject_unforwarded(&received, grant),
+            LocalCheck::NoFreePermit { permits } => {
+                return self.wait_for_local_permit(received, grant, permits);
+            }
+        };
+        let endpoint = self.forwarding.first_endpoint(&received, &mut self.context);
+        let Some(endpoint) = endpoint else {
+            return self.reject_unforwarded(&received, grant);
+        };
+        self.quotas
+            .start_request(&received, grant, hard_limit_cost, &mut self.context);
+        let request = self.requests.insert_in_flight(received, grant);
+        self.forwarding
+            .start_attempt(request, endpoint, &mut self.context);
+    }
+
+    fn wait_for_local_permit(
         &mut self,
-        kind: EndpointListKind,
-        endpoints: Vec<Endpoint>,
+        received: ReceivedRequest,
+        grant: QuotaGrant,
+        permits: u32,
     ) {
-        self.load_balancer
-            .apply_list(kind, endpoints, Timestamp(self.now_ms));
+        let context = &mut self.context;
+        let rejected = self
+            .requests
+            .wait_for_local_permit(received, grant, permits, context);
+        if let Some(received) = rejected {
+            self.return_unused(&received, grant.permit());
+            self.reject(&received.request);
+        }
     }
 
-    pub(crate) fn on_gossip_timer(&mut self) {
-        self.actions.gossip_timer_fired();
+    fn reject_unforwarded(&mut self, received: &ReceivedRequest, grant: QuotaGrant) {
+        if grant.is_returned_on_rejection() {
+            self.return_unused(received, grant.permit());
+        }
+        self.reject(&received.request);
     }
 
-    /// Sends the gossip that is due, forgets idle tenants, and returns the actions of the event.
-    pub(crate) fn finish_event(&mut self) -> Vec<Action> {
-        self.actions.flush_gossip();
-        let in_use = |tenant: &Tenant| tenant.client.permits.in_flight() > 0;
-        if self
-            .tenants
-            .evict_idle(TENANT_IDLE_MS, TENANT_IDLE_MS / 10.0, self.now_ms, in_use)
-        {
-            self.unconfirmed_usage
-                .retain_tenants(|tenant| self.tenants.get(&tenant).is_some());
+    fn reject(&mut self, request: &Request) {
+        let retry_after = self.quotas.retry_after(request, self.context.now);
+        self.context.reject(request.id, retry_after);
+    }
+
+    /// The client of a request has disconnected.
+    pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
+        if let Some(pending) = self.requests.remove_pending_request(id) {
+            return self.cancel_waiting(&pending);
+        }
+        let Some(request) = self.requests.in_flight_mut(id) else {
+            return;
+        };
+        request.client_disconnected = true;
+        let received = &request.received;
+        if !received.is_in_time(self.context.now) {
+            self.forwarding
+                .record(received.tier, RequestOutcome::Unserved, &self.context);
         }
-        self.actions.take()
+    }
+
+    /// An attempt has ended.
+    pub(crate) fn on_attempt_finished(&mut self, outcome: &AttemptOutcome) {
+        let id = outcome.request;
+        let request = self.requests.in_flight_mut(id);
+        self.forwarding
+            .attempt_finished(request, outcome, &mut self.context);
+        let Some(request) = self.requests.in_flight(id) else {
+            return;
+        };
+        let (account, cost) = (request.received.account, request.received.request.cost);
+        let difference = outcome
+            .actual_cost
+            .map_or(Tokens::ZERO, |actual| actual - cost);
+        self.settle(Settlement::of_tokens(account, difference));
+        let Some(request) = self.requests.in_flight_mut(id) else {
+            return;
+        };
+        let context = &mut self.context;
+        match self.forwarding.next_step(request, outcome, context) {
+            NextStep::Retry(endpoint) => self.forwarding.start_retry(request, endpoint, context),
+            NextStep::End(end) => self.end_request(id, end),
+        }
+    }
+
+    fn end_request(&mut self, id: RequestId, end: RequestEnd) {
+        let Some(InFlightRequest {
+            received, grant, ..
+        }) = self.requests.remove_in_flight(id)
+        else {
+            return;
+        };
+        self.reuse_permit(received.account, grant);
+        if let Some(outcome) = end.outcome {
+            self.forwarding
+                .record(received.tier, outcome, &self.context);
+        }
+        match end.answer {
+            FinalAnswer::None => {}
+            FinalAnswer::Reject => self.reject(&received.request),
+            FinalAnswer::Fail => self.context.fail(id),
+        }
+    }
+
+    /// Admits the next request that waits for the permit of one that has ended.
+    fn reuse_permit(&mut self, account: AccountId, grant: QuotaGrant) {
+        match self.quotas.end_request(account, grant) {
+            FreedPermit::None => {}
+            FreedPermit::Local => {
+                if let Some(next) = self.requests.remove_oldest_for_permit(account.tenant) {
+                    let grant = next.grant_with_local_permit(self.settings.gateway);
+                    self.admit(next.received, grant);
+                }
+            }
+            FreedPermit::Shared(permit) => self.transfer_permit(account, permit),
+        }
+    }
+
+    /// Transfers a shared permit to the tenant's next request at this gateway, since each message to the
+    /// owner would leave it unused for a while. Releases it if no request waits.
+    fn transfer_permit(&mut self, account: AccountId, permit: QuotaRequestId) {
+        let Some(next) = self.requests.remove_oldest(account.tenant) else {
+            return self.settle(Settlement::of_permit(account, permit));
+        };
+        let received = next.received;
+        let cost = received.request.cost;
+        self.settle(Settlement::of_tokens(received.account, cost));
+        self.admit(received, QuotaGrant::InheritedPermit(permit));
     }
 }
--- /dev/null
+++ b/src/decisions/quota/owner_side.rs
@@ -0,0 +1,125 @@
+//! The accounts that this gateway owns: it decides on the requests of all gateways of the shard.
+
+use super::Quotas;
+use super::owner::{QueuedDecision, bucket_reserve};
+use crate::decisions::account::AccountId;
+use crate::decisions::context::EventContext;
+use crate::decisions::gossip::{
+    GossipMessage, PermitId, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse,
+};
+use crate::events::GatewayId;
+use crate::units::{Milliseconds, Timestamp, Tokens};
+
+impl Quotas {
+    /// Brings an account up to now, and grants free permits to the requests in its queue. A permit whose
+    /// release was lost becomes free when its lease ends, which nothing else announces.
+    pub(crate) fn grant_queued(
+        &mut self,
+        account: AccountId,
+        context: &mut EventContext,
+    ) -> Vec<QueuedDecision> {
+        let plan = self.settings.plan(account.plan);
+        let reserve = bucket_reserve(&self.settings, plan);
+        self.tenants
+            .advanced_owner(account, &self.settings, context)
+            .grant_queued(plan, reserve, context.now)
+    }
+
+    /// Decides on a quota request. The account was brought up to now by [`Quotas::grant_queued`].
+    pub(crate) fn decide(
+        &mut self,
+        account: AccountId,
+        request: QuotaRequest,
+        context: &EventContext,
+    ) -> QuotaDecision {
+        let Some(tenant) = self.tenants.get_mut(account.tenant) else {
+            return QuotaDecision::Denied;
+        };
+        let plan = self.settings.plan(tenant.plan);
+        let reserve = bucket_reserve(&self.settings, self.settings.plan(account.plan));
+        let gossip_enabled = self.settings.gossip_enabled;
+        let conditions = context.conditions();
+        tenant
+            .owner
+            .decide(request, plan, reserve, gossip_enabled, conditions)
+    }
+
+    /// Sends a decision to the gateway that asked for it, which is another one.
+    pub(crate) fn send_decision(
+        &self,
+        account: AccountId,
+        request: &QuotaRequest,
+        decision: QuotaDecision,
+        context: &mut EventContext,
+    ) {
+        let Some(tenant) = self.tenants.get(account.tenant) else {
+            return;
+        };
+        let response = GossipMessage::QuotaResponse(QuotaResponse {
+            request: request.id,
+            decision,
+            state: tenant.owner.state(),
+        });
+        let max_delay = Milliseconds::ZERO;
+        context.send(request.gateway, account.tenant, &response, max_delay);
+    }
+
+    /// Handles a message of another gateway about its use of an account. Returns the decisions on queued
+    /// requests that follow from it.
+    pub(crate) fn on_usage_message(
+        &mut self,
+        account: AccountId,
+        from: GatewayId,
+        message: GossipMessage,
+        context: &mut EventContext,
+    ) -> Vec<QueuedDecision> {
+        let permit_of = |request: QuotaRequestId| PermitId {
+            gateway: from,
+            request,
+        };
+        match message {
+            GossipMessage::SettleUsage { cost, permit, .. } => {
+                return self.settle_as_owner(account, cost, permit.map(permit_of), context);
+            }
+            GossipMessage::ReportUnconfirmedUsage {
+                last_request, cost, ..
+            } => self
+                .tenants
+                .advanced_owner(account, &self.settings, context)
+                .charge_unconfirmed(permit_of(last_request), cost),
+            GossipMessage::RenewPermit { permit, .. } => {
+                self.tenants
+                    .advanced_owner(account, &self.settings, context);
+                self.renew_as_owner(account, permit_of(permit), context.now);
+            }
+            GossipMessage::RequestQuota { .. } | GossipMessage::QuotaResponse(_) => {}
+        }
+        Vec::new()
+    }
+
+    /// Charges or takes back what a gateway settles, and grants the permits that are free to the requests in
+    /// the queue.
+    pub(super) fn settle_as_owner(
+        &mut self,
+        account: AccountId,
+        cost: Tokens,
+        permit: Option<PermitId>,
+        context: &mut EventContext,
+    ) -> Vec<QueuedDecision> {
+        let plan = self.settings.plan(account.plan);
+        let reserve = bucket_reserve(&self.settings, plan);
+        let owner = self
+            .tenants
+            .advanced_owner(account, &self.settings, context);
+        owner.settle(cost, permit, plan);
+        owner.grant_queued(plan, reserve, context.now)
+    }
+
+    /// Renews the lease of a permit.
+    pub(super) fn renew_as_owner(&mut self, account: AccountId, permit: PermitId, now: Timestamp) {
+        if let Some(tenant) = self.tenants.get_mut(account.tenant) {
+            let plan = self.settings.plan(tenant.plan);
+            tenant.owner.renew_permit(permit, plan, now);
+        }
+    }
+}
