--- a/src/gateway/clients/connection.rs
+++ b/src/gateway/clients/connection.rs
@@ -1,6 +1,6 @@
 //! One client's connection: its socket and its responses, and the events that change its state.
 
-use super::connection_state::{Awaited, CloseWhen, ConnectionState, NextStep};
+use super::connection_state::{Awaited, CloseWhen, ConnectionState, ConnectionStep};
 use super::responses::Responses;
 use super::socket::{ClientSocket, ReadOutcome};
 use crate::RequestId;
@@ -188,10 +188,10 @@
     ///
     /// A request that has arrived is served, although the runtime has not seen it yet. Closing over it would also
     /// discard the last response (test `command_that_arrived_before_its_connection_is_closed_is_answered`).
-    pub(super) fn next_step(&self) -> NextStep {
+    pub(super) fn next_step(&self) -> ConnectionStep {
         match self.state.borrow().next_step(self.is_idle()) {
-            NextStep::Wait => NextStep::Wait,
-            _ if self.socket.has_unread_input() => NextStep::Wait,
+            ConnectionStep::Wait => ConnectionStep::Wait,
+            _ if self.socket.has_unread_input() => ConnectionStep::Wait,
             end => end,
         }
     }
--- a/src/gateway/clients/connection_state.rs
+++ b/src/gateway/clients/connection_state.rs
@@ -1,7 +1,7 @@
 //! The state of a client's connection: what is received, what is sent, and whether the gateway wants to close it.
 //!
 //! The two directions of a TCP connection end independently of each other, so each has states of its own. All
-//! transitions are here, and none of them does input or output. The connection's task asks for the [`NextStep`].
+//! transitions are here, and none of them does input or output. The connection's task asks for the [`ConnectionStep`].
 //!
 //! Input, [`ConnectionState`]:
 //!
@@ -26,10 +26,10 @@
 //! | --- | --- | --- | --- |
 //! | any | `Failed` | any | end |
 //! | `Ended` | not `Failed` | any | start what was received before the end, then end |
-//! | `TimedOut` | idle | any | [`NextStep::RejectLateCommand`] |
-//! | any | idle | [`CloseWhen::NoRequestPending`] | [`NextStep::Close`] |
-//! | `BetweenCommands` | idle | [`CloseWhen::NoCommandPartial`] | [`NextStep::Close`] |
-//! | otherwise | | | [`NextStep::Wait`] |
+//! | `TimedOut` | idle | any | [`ConnectionStep::RejectLateCommand`] |
+//! | any | idle | [`CloseWhen::NoRequestPending`] | [`ConnectionStep::Close`] |
+//! | `BetweenCommands` | idle | [`CloseWhen::NoCommandPartial`] | [`ConnectionStep::Close`] |
+//! | otherwise | | | [`ConnectionStep::Wait`] |
 
 use super::connection::REQUEST_TIMEOUT;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
 
 /// What the task of a connection does once it has started every command that it may.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum NextStep {
+pub(super) enum ConnectionStep {
     /// It waits for input, for an answer, or for the socket.
     Wait,
     /// It closes the connection.
@@ -187,15 +187,15 @@
     /// What the task does next. `is_idle` says whether every request is answered and every response delivered.
     ///
     /// The caller must not end the connection over unread input, which only the socket knows of.
-    pub(super) fn next_step(&self, is_idle: bool) -> NextStep {
+    pub(super) fn next_step(&self, is_idle: bool) -> ConnectionStep {
         let is_between_commands = self.input == InputState::BetweenCommands;
         match (self.input, self.close) {
-            _ if !is_idle => NextStep::Wait,
-            (InputState::TimedOut, _) => NextStep::RejectLateCommand,
-            (InputState::Ended, _) | (_, None) => NextStep::Wait,
-            (_, Some(CloseWhen::NoRequestPending)) => NextStep::Close,
-            (_, Some(CloseWhen::NoCommandPartial)) if is_between_commands => NextStep::Close,
-            (_, Some(CloseWhen::NoCommandPartial)) => NextStep::Wait,
+            _ if !is_idle => ConnectionStep::Wait,
+            (InputState::TimedOut, _) => ConnectionStep::RejectLateCommand,
+            (InputState::Ended, _) | (_, None) => ConnectionStep::Wait,
+            (_, Some(CloseWhen::NoRequestPending)) => ConnectionStep::Close,
+            (_, Some(CloseWhen::NoCommandPartial)) if is_between_commands => ConnectionStep::Close,
+            (_, Some(CloseWhen::NoCommandPartial)) => ConnectionStep::Wait,
         }
     }
 
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{ALWAYS_ALLOWED_BYTES, ClientConnection};
 use super::connection_error::ConnectionError;
-use super::connection_state::{Awaited, NextStep};
+use super::connection_state::{Awaited, ConnectionStep};
 use super::request::ClientRequest;
 use super::schema::RequestSchema;
 use super::{ClientEvent, ClientEventHandler};
@@ -91,9 +91,9 @@
                 return Err(ConnectionError::OutOfMemory);
             }
             match self.connection.next_step() {
-                NextStep::RejectLateCommand => return Err(ConnectionError::RequestTimeout),
-                NextStep::Close => return Ok(()),
-                NextStep::Wait => {
+                ConnectionStep::RejectLateCommand => return Err(ConnectionError::RequestTimeout),
+                ConnectionStep::Close => return Ok(()),
+                ConnectionStep::Wait => {
                     if self.wait().await.is_break() {
                         return Ok(());
                     }
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -20,7 +20,6 @@
 //! Two dispatchers say what happens when: `engine_actions` for what the engine asks for, and `socket_events` for what
 //! happens on sockets. Timers are dispatched in `timer_task`.
 
-mod attempt;
 mod endpoint_translator;
 mod engine_actions;
 mod engine_queue;
@@ -30,6 +29,7 @@
 mod proxied_request;
 mod proxied_requests;
 mod response_outcome;
+mod running_attempt;
 mod service_phase;
 mod socket_events;
 mod timer_task;
--- a/src/gateway/event_loop/proxied_request.rs
+++ b/src/gateway/event_loop/proxied_request.rs
@@ -3,7 +3,7 @@
 
 use crate::gateway::clients::{ClientConnection, ClientRequest};
 use crate::gateway::endpoints::AttemptId;
-use crate::gateway::event_loop::attempt::{Attempt, may_have_executed};
+use crate::gateway::event_loop::running_attempt::{RunningAttempt, may_have_executed};
 use crate::{AttemptResult, EndpointName, GatewayId, Request, RequestId, Timestamp};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
     command: ClientRequest,
     client: ClientState,
     attempts_started: u32,
-    attempt: Option<Attempt>,
+    attempt: Option<RunningAttempt>,
     /// When the first attempt that may have been executed was started.
     first_executed_at: Option<Instant>,
 }
@@ -98,12 +98,12 @@
     }
 
     /// The attempt that runs.
-    pub fn attempt(&self) -> Option<&Attempt> {
+    pub fn attempt(&self) -> Option<&RunningAttempt> {
         self.attempt.as_ref()
     }
 
     /// The same, to change its state.
-    pub fn attempt_mut(&mut self) -> Option<&mut Attempt> {
+    pub fn attempt_mut(&mut self) -> Option<&mut RunningAttempt> {
         self.attempt.as_mut()
     }
 
@@ -127,12 +127,12 @@
             number: self.attempts_started,
         };
         self.attempts_started += 1;
-        self.attempt = Some(Attempt::start(id, endpoint, now, deadline));
+        self.attempt = Some(RunningAttempt::start(id, endpoint, now, deadline));
         id
     }
 
     /// Ends the attempt. One that may have been executed counts for the deduplication window.
-    pub fn finish_attempt(&mut self, result: AttemptResult) -> Option<Attempt> {
+    pub fn finish_attempt(&mut self, result: AttemptResult) -> Option<RunningAttempt> {
         let attempt = self.attempt.take()?;
         if may_have_executed(result) {
             self.first_executed_at.get_or_insert(attempt.started_at());
--- a/src/gateway/event_loop/attempt.rs
+++ b/src/gateway/event_loop/running_attempt.rs
@@ -20,7 +20,7 @@
 use std::time::Instant;
 
 /// The one attempt that a request may have running.
-pub(super) struct Attempt {
+pub(super) struct RunningAttempt {
     id: AttemptId,
     endpoint: EndpointName,
     started_at: Instant,
@@ -35,15 +35,15 @@
     OnConnection(Rc<EndpointConnection>),
 }
 
-impl Attempt {
+impl RunningAttempt {
     /// An attempt that has no connection yet.
     pub fn start(
         id: AttemptId,
         endpoint: EndpointName,
         started_at: Instant,
         deadline: Instant,
-    ) -> Attempt {
-        Attempt {
+    ) -> RunningAttempt {
+        RunningAttempt {
             id,
             endpoint,
             started_at,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -52,7 +52,7 @@
 //! | connection that opens after its attempt has ended | `Forwarder::connect_finished` | `a_connect_that_ends_after_its_attempt_carries_only_a_later_request` |
 //! | deduplication window that passes while a connection opens | `ProxiedRequests::send_command` | `a_keyed_request_is_not_retried_if_its_deduplication_window_passes_during_the_connect` |
 //! | endpoint that begins to drain while a connection opens | `Forwarder::send_command` | `request_goes_elsewhere_if_its_endpoint_starts_draining_while_connecting` |
-//! | answer to an attempt that has been abandoned | `Attempt::close_connection` | `late_answer_never_reaches_the_next_request` |
+//! | answer to an attempt that has been abandoned | `RunningAttempt::close_connection` | `late_answer_never_reaches_the_next_request` |
 //! | late bytes of a response on a connection that is used again | `IdleConnections::take_newest` | `connection_is_not_reused_before_its_reuse_delay_has_passed` |
 //! | request whose deadline lies after the kill | `ServicePhase::limit` | `request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit` |
 //! | new owner of an address that the list has not removed | `EndpointRegistry::apply` | `new_endpoint_at_a_reused_address_gets_no_connection_of_its_predecessor` |
