--- a/examples/decision_digest/digest.rs
+++ b/examples/decision_digest/digest.rs
@@ -3,7 +3,8 @@
 //! The hash reads values only, in a fixed order and with tags of its own, so that it does not
 //! depend on the name of any type or field of the library.
 
-use marlshelf::{Action, GatewayId, RequestId, TimerToken};
+use marlshelf::{Action, GatewayId, Timestamp};
+use marlshelf_simulation::Observer;
 
 /// The initial value of FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -35,50 +36,38 @@
         self.actions
     }
 
-    /// Records one action of a gateway.
-    pub fn record(&mut self, gateway: usize, now_ms: f64, action: &Action) {
-        self.actions += 1;
-        self.integer(gateway as u64);
-        self.float(now_ms);
+    fn action(&mut self, action: &Action) {
         match action {
             Action::Forward {
-                request: RequestId(id),
+                request,
                 endpoint,
                 deadline_ms,
             } => {
                 self.tag(1);
-                self.integer(*id);
+                self.integer(request.0);
                 self.text(endpoint);
                 self.float(*deadline_ms);
             }
             Action::Reject {
-                request: RequestId(id),
+                request,
                 retry_after_ms,
             } => {
                 self.tag(2);
-                self.integer(*id);
+                self.integer(request.0);
                 self.float(*retry_after_ms);
             }
-            Action::Fail {
-                request: RequestId(id),
-            } => {
+            Action::Fail { request } => {
                 self.tag(3);
-                self.integer(*id);
+                self.integer(request.0);
             }
-            Action::SendGossip {
-                to: GatewayId(to),
-                text,
-            } => {
+            Action::SendGossip { to, text } => {
                 self.tag(6);
-                self.integer(u64::from(*to));
+                self.integer(u64::from(to.0));
                 self.text(text);
             }
-            Action::SetTimer {
-                token: TimerToken(token),
-                delay_ms,
-            } => {
+            Action::SetTimer { token, delay_ms } => {
                 self.tag(7);
-                self.integer(*token);
+                self.integer(token.0);
                 self.float(*delay_ms);
             }
         }
@@ -109,3 +98,12 @@
         self.bytes(text.as_bytes());
     }
 }
+
+impl Observer for ActionDigest {
+    fn on_action(&mut self, now: Timestamp, gateway: GatewayId, action: &Action) {
+        self.actions += 1;
+        self.integer(u64::from(gateway.0));
+        self.float(now.as_f64());
+        self.action(action);
+    }
+}
--- a/examples/decision_digest/main.rs
+++ b/examples/decision_digest/main.rs
@@ -5,12 +5,13 @@
 //!
 //! Usage: `decision_digest [--list] [SCENARIO...]`
 
-mod clients;
 mod digest;
-mod endpoint;
-mod fleet;
 mod scenario;
 
+use digest::ActionDigest;
+use marlshelf_simulation::{Fleet, GatewaySeeds, Randomness, TenantClients};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
 use scenario::Scenario;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -76,7 +77,18 @@
 
 /// Plays one scenario with one seed and gives its output line.
 fn play(scenario: &Scenario, seed: u64) -> String {
-    let digest = fleet::Fleet::new(scenario, seed).play();
+    let fleet = &scenario.fleet;
+    let mut generator = Pcg64Mcg::seed_from_u64(seed);
+    let clients = TenantClients::new(&scenario.traffic, &fleet.settings, &mut generator);
+    let gateway_seeds = GatewaySeeds {
+        first: seed * 1_000_003,
+        step: 101,
+        incarnation_step: 7919,
+    };
+    let randomness = Randomness::shared(generator, gateway_seeds);
+    let digest = Fleet::new(fleet, clients, ActionDigest::new(), randomness)
+        .run()
+        .observer;
     let (actions, hash) = (digest.actions(), digest.hash());
     format!("{} {seed} {actions} {hash:016x}", scenario.name)
 }
--- a/examples/decision_digest/scenario/defaults.rs
+++ b/examples/decision_digest/scenario/defaults.rs
@@ -1,8 +1,21 @@
 //! The values that scenarios share, and the scenario from which all others are derived.
 
-use super::{GossipNetwork, Incident, PlannedIncident, Scenario, Traffic};
-use crate::endpoint::{EndpointPool, Fault};
-use marlshelf::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings};
+use super::Scenario;
+use marlshelf::{
+    DeduplicationScope, GatewayId, Idempotency, Milliseconds, Plan, RequestClass, Settings,
+    Timestamp,
+};
+use marlshelf_simulation::{
+    EndpointIndex, EndpointNames, EndpointPool, EndpointWeights, Fault, FleetScenario, GatewayHost,
+    GossipNetwork, Incident, PlannedIncident, ResponseDelays, ResponseReports, ServiceModel,
+    SlowStart, Tampering, TenantTraffic,
+};
+
+/// How endpoints warm up. The gateways are configured accordingly.
+const SLOW_START: SlowStart = SlowStart {
+    initial_warmth: 0.2,
+    warmup: Milliseconds(8000.0),
+};
 
 /// Request classes of every idempotency.
 fn classes() -> Vec<RequestClass> {
@@ -87,21 +100,29 @@
 fn endpoints() -> EndpointPool {
     EndpointPool {
         count: 12,
+        names: EndpointNames::default(),
         zones: 2,
         cells: 4,
         hardware_kinds: 2,
-        has_invalid_weights: false,
-        cores: 4,
-        queue_capacity: 8,
-        service_time_ms: 40.0,
-        network_delay_ms: 0.5,
-        load_report_ratio: 0.5,
+        weights: EndpointWeights::Varied,
+        service: ServiceModel {
+            cores: 4,
+            queue_capacity: 8,
+            service_time: Milliseconds(40.0),
+            service_time_variation: Some(0.6..1.6),
+            slow_start: SLOW_START,
+            delays: ResponseDelays::default(),
+        },
+        reports: ResponseReports {
+            load_report_ratio: 0.5,
+            actual_cost_ratio: 0.3,
+        },
     }
 }
 
 /// Clients of 33 tenants, which send less than the endpoints can serve.
-fn traffic() -> Traffic {
-    Traffic {
+fn traffic() -> TenantTraffic {
+    TenantTraffic {
         tenants: 33,
         requests_per_second: 300.0,
         surge: None,
@@ -110,9 +131,24 @@
         sticky_ratio: 0.5,
         disconnect_ratio: 0.03,
         retry_ratio: 0.5,
-        actual_cost_ratio: 0.3,
         invalid_ratio: 0.002,
-        host_abort_ratio: 0.003,
+    }
+}
+
+/// Settings with all classes and plans.
+fn settings(gateway_count: u32, plan_scale: f64) -> Settings {
+    Settings {
+        gateway_count,
+        classes: classes(),
+        plans: plans(plan_scale),
+        max_attempts: 3,
+        gossip_enabled: true,
+        max_request_cost: 6.0,
+        gossip_intake_per_second: 60.0,
+        initial_warmth: SLOW_START.initial_warmth,
+        warmup_ms: SLOW_START.warmup.as_f64(),
+        warmup_overload_multiple: 4.0,
+        ..Settings::default()
     }
 }
 
@@ -121,55 +157,73 @@
     Scenario {
         name,
         seeds: vec![1, 2],
-        settings: Settings {
-            gateway_count,
-            classes: classes(),
-            plans: plans(plan_scale),
-            max_attempts: 3,
-            gossip_enabled: true,
-            max_request_cost: 6.0,
-            gossip_intake_per_second: 60.0,
-            initial_warmth: 0.2,
-            warmup_ms: 8000.0,
-            warmup_overload_multiple: 4.0,
-            ..Settings::default()
-        },
-        gateway_zones: 2,
-        endpoints: endpoints(),
-        gossip: GossipNetwork {
-            loss_ratio: 0.02,
-            delay_ms: 2.0..20.0,
-            partition_ms: None,
-            damage_ratio: 0.0,
-            forgery_ratio: 0.0,
+        fleet: FleetScenario {
+            settings: settings(gateway_count, plan_scale),
+            gateway_zones: 2,
+            host: GatewayHost {
+                max_timer_lead: Milliseconds::ZERO,
+                abort_ratio: 0.003,
+            },
+            endpoints: endpoints(),
+            gossip: GossipNetwork {
+                loss_ratio: 0.02,
+                delay: Milliseconds(2.0)..Milliseconds(20.0),
+                partition: None,
+                tampering: Some(Tampering::default()),
+            },
+            incidents: Vec::new(),
+            end: Timestamp(15_000.0),
         },
-        max_timer_lead_ms: 0.0,
         traffic: traffic(),
-        incidents: Vec::new(),
-        duration_ms: 15_000.0,
     }
 }
 
+/// An endpoint has this fault from `at` on.
+pub fn fault(at: Timestamp, endpoint: usize, fault: Fault) -> PlannedIncident {
+    PlannedIncident::at(at, Incident::Fault(EndpointIndex(endpoint), fault))
+}
+
+/// The service time of an endpoint is multiplied by `factor` from `at` on.
+fn slow(at: Timestamp, endpoint: usize, factor: f64) -> PlannedIncident {
+    PlannedIncident::at(at, Incident::Slow(EndpointIndex(endpoint), factor))
+}
+
+/// An endpoint's process restarts.
+pub fn restart(at: Timestamp, endpoint: usize) -> PlannedIncident {
+    PlannedIncident::at(at, Incident::Restart(EndpointIndex(endpoint)))
+}
+
+/// An endpoint is replaced by one of another name.
+fn replace(at: Timestamp, endpoint: usize) -> PlannedIncident {
+    PlannedIncident::at(at, Incident::Replace(EndpointIndex(endpoint)))
+}
+
+/// A gateway restarts without its state.
+pub fn restart_gateway(at: Timestamp, gateway: u32) -> PlannedIncident {
+    PlannedIncident::at(at, Incident::RestartGateway(GatewayId(gateway)))
+}
+
 /// Every fault of an endpoint once, and every change of the endpoint list.
 pub fn endpoint_faults() -> Vec<PlannedIncident> {
+    let health_check = Incident::HealthCheck(EndpointIndex(2));
     vec![
-        PlannedIncident::at(1000.0, Incident::Fault(0, Fault::Errors(0.5))),
-        PlannedIncident::at(1500.0, Incident::Slow(1, 4.0)),
-        PlannedIncident::at(2000.0, Incident::Fault(2, Fault::Unreachable)),
-        PlannedIncident::at(2500.0, Incident::Drain(3)),
-        PlannedIncident::at(3000.0, Incident::Fault(4, Fault::Resets(0.4))),
-        PlannedIncident::at(3500.0, Incident::Fault(5, Fault::Silent)),
-        PlannedIncident::at(4000.0, Incident::Restart(6)),
-        PlannedIncident::at(4500.0, Incident::Replace(7)),
-        PlannedIncident::at(5000.0, Incident::Fault(8, Fault::Overloaded)),
-        PlannedIncident::at(6000.0, Incident::Restart(9)),
-        PlannedIncident::at(7000.0, Incident::Snapshot),
-        PlannedIncident::at(7200.0, Incident::HealthCheck(2)),
-        PlannedIncident::at(7500.0, Incident::Fault(0, Fault::None)),
-        PlannedIncident::at(8000.0, Incident::Slow(1, 1.0)),
-        PlannedIncident::at(8500.0, Incident::Fault(2, Fault::None)),
-        PlannedIncident::at(9000.0, Incident::Fault(5, Fault::None)),
-        PlannedIncident::at(9500.0, Incident::Replace(10)),
-        PlannedIncident::at(11_000.0, Incident::Snapshot),
+        fault(Timestamp(1000.0), 0, Fault::Errors(0.5)),
+        slow(Timestamp(1500.0), 1, 4.0),
+        fault(Timestamp(2000.0), 2, Fault::Unreachable),
+        PlannedIncident::at(Timestamp(2500.0), Incident::Drain(EndpointIndex(3))),
+        fault(Timestamp(3000.0), 4, Fault::Resets(0.4)),
+        fault(Timestamp(3500.0), 5, Fault::Silent),
+        restart(Timestamp(4000.0), 6),
+        replace(Timestamp(4500.0), 7),
+        fault(Timestamp(5000.0), 8, Fault::Overloaded),
+        restart(Timestamp(6000.0), 9),
+        PlannedIncident::at(Timestamp(7000.0), Incident::Snapshot),
+        PlannedIncident::at(Timestamp(7200.0), health_check),
+        fault(Timestamp(7500.0), 0, Fault::None),
+        slow(Timestamp(8000.0), 1, 1.0),
+        fault(Timestamp(8500.0), 2, Fault::None),
+        fault(Timestamp(9000.0), 5, Fault::None),
+        replace(Timestamp(9500.0), 10),
+        PlannedIncident::at(Timestamp(11_000.0), Incident::Snapshot),
     ]
 }
--- /dev/null
+++ b/simulation/src/clients/scheduled.rs
@@ -0,0 +1,60 @@
+//! Clients that send given requests at given times.
+
+use super::{ArrivalSource, Arrivals, ClientRequest, Clients, Patience};
+use marlshelf::{Milliseconds, Timestamp};
+use rand_pcg::Pcg64Mcg;
+
+/// A request and the time at which its gateway receives it.
+#[derive(Clone, Debug)]
+pub struct ScheduledRequest {
+    /// The time.
+    pub at: Timestamp,
+    /// The request.
+    pub request: ClientRequest,
+}
+
+/// Clients that send given requests, all wait the same time, and neither disconnect nor retry.
+#[derive(Clone, Debug)]
+pub struct ScheduledClients {
+    requests: Vec<ScheduledRequest>,
+    timeout: Milliseconds,
+}
+
+impl ScheduledClients {
+    /// Clients that send these requests and state a deadline after `timeout`.
+    #[must_use]
+    pub fn new(requests: Vec<ScheduledRequest>, timeout: Milliseconds) -> ScheduledClients {
+        ScheduledClients { requests, timeout }
+    }
+}
+
+impl Clients for ScheduledClients {
+    /// Each request is a source of its own.
+    fn first_arrivals(&mut self, _random: &mut Pcg64Mcg) -> Vec<Timestamp> {
+        self.requests.iter().map(|request| request.at).collect()
+    }
+
+    fn arrive(
+        &mut self,
+        source: ArrivalSource,
+        _now: Timestamp,
+        _random: &mut Pcg64Mcg,
+    ) -> Arrivals {
+        Arrivals {
+            now: Some(self.requests[source.0].request.clone()),
+            next: None,
+        }
+    }
+
+    fn patience(
+        &mut self,
+        _request: &ClientRequest,
+        now: Timestamp,
+        _random: &mut Pcg64Mcg,
+    ) -> Patience {
+        Patience {
+            deadline: now + self.timeout,
+            disconnect_at: None,
+        }
+    }
+}
--- a/examples/decision_digest/fleet/client_requests.rs
+++ b/simulation/src/fleet/client_requests.rs
@@ -2,15 +2,9 @@
 
 use super::Fleet;
 use super::attempts::Attempt;
-use super::event_queue::FleetEvent;
-use crate::clients::ClientRequest;
-use marlshelf::{Event, GatewayId, Request, RequestId};
-use rand::Rng;
-
-/// The latency objective on which a client's patience depends if its class does not exist.
-const DEFAULT_LATENCY_OBJECTIVE_MS: f64 = 500.0;
-/// How long after its deadline a client disconnects.
-const DISCONNECT_DELAY_MS: f64 = 5.0;
+use super::events::FleetEvent;
+use crate::{ArrivalSource, ClientRequest, Clients, Observer, RandomStream};
+use marlshelf::{Event, Milliseconds, Request, RequestId};
 
 /// A request that a gateway has received and that is not completed.
 pub struct PendingRequest {
@@ -26,12 +20,15 @@
     pub attempt: Option<Attempt>,
 }
 
-impl Fleet<'_> {
-    /// Receives a new request, and schedules the arrival of the next one.
-    pub(super) fn receive_new_request(&mut self) {
-        let interval_ms = self.clients.arrival_interval_ms(self.now_ms, &mut self.rng);
-        self.schedule(self.now_ms + interval_ms, FleetEvent::NewRequest);
-        if let Some(request) = self.clients.new_request(self.now_ms, &mut self.rng) {
+impl<C: Clients, O: Observer> Fleet<'_, C, O> {
+    /// Receives the request that arrives from a source, and schedules the arrival of the next one.
+    pub(super) fn receive_arrival(&mut self, source: ArrivalSource) {
+        let random = self.randomness.stream(RandomStream::Clients);
+        let arrivals = self.clients.arrive(source, self.now, random);
+        if let Some(next) = arrivals.next {
+            self.schedule(next, FleetEvent::Arrival(source));
+        }
+        if let Some(request) = arrivals.now {
             self.receive_request(request);
         }
     }
@@ -40,23 +37,27 @@
     pub(super) fn receive_request(&mut self, request: ClientRequest) {
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
-        let client_deadline_ms = self.schedule_disconnect(id, request.class);
-        let shard = self.clients.shard(request.tenant);
+        let random = self.randomness.stream(RandomStream::Clients);
+        let patience = self.clients.patience(&request, self.now, random);
+        if let Some(disconnect_at) = patience.disconnect_at {
+            self.schedule(disconnect_at, FleetEvent::ClientDisconnect(id));
+        }
+        self.observer.on_request(self.now, id, &request);
         let event = Event::RequestReceived(Request {
             id,
-            tenant: shard.tenant,
+            tenant: request.tenant.clone(),
             class: request.class,
             plan: request.plan,
-            cost: request.cost,
-            shard_start: GatewayId(shard.start),
-            shard_size: shard.size,
-            client_deadline_ms,
+            cost: request.cost.as_f64(),
+            shard_start: request.shard.start,
+            shard_size: request.shard.size,
+            client_deadline_ms: patience.deadline.as_f64(),
             is_retry: request.retries > 0,
         });
         let gateway = request.gateway;
         let pending = PendingRequest {
             request,
-            gateway_incarnation: self.gateways[gateway].incarnation,
+            gateway_incarnation: self.gateway(gateway).incarnation,
             client_waits: true,
             attempt_count: 0,
             attempt: None,
@@ -65,24 +66,6 @@
         self.notify(gateway, event);
     }
 
-    /// Schedules when the client disconnects: shortly after its deadline, or early. Returns the
-    /// deadline in milliseconds.
-    fn schedule_disconnect(&mut self, id: RequestId, class: usize) -> f64 {
-        let class = self.scenario.settings.classes.get(class);
-        let objective_ms = class.map_or(DEFAULT_LATENCY_OBJECTIVE_MS, |class| {
-            class.latency_objective_ms
-        });
-        let deadline_ms = self.now_ms + objective_ms * self.rng.random_range(0.8..2.5);
-        let is_early = self.rng.random::<f64>() < self.scenario.traffic.disconnect_ratio;
-        let disconnect_at_ms = if is_early {
-            self.now_ms + self.rng.random_range(0.0..1.5 * objective_ms)
-        } else {
-            deadline_ms + DISCONNECT_DELAY_MS
-        };
-        self.schedule(disconnect_at_ms, FleetEvent::ClientDisconnect(id));
-        deadline_ms
-    }
-
     /// Disconnects a client. Its endpoint continues with the attempt in flight.
     pub(super) fn disconnect_client(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else {
@@ -98,16 +81,17 @@
     }
 
     /// Gives a client its final answer, after which it may retry.
-    pub(super) fn answer_client(&mut self, id: RequestId, retry_after_ms: f64) {
+    pub(super) fn answer_client(&mut self, id: RequestId, retry_after: Milliseconds) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
         pending.client_waits = false;
-        let retry =
-            self.clients
-                .retry(&pending.request, retry_after_ms, self.now_ms, &mut self.rng);
+        let random = self.randomness.stream(RandomStream::Clients);
+        let retry = self
+            .clients
+            .retry(&pending.request, retry_after, self.now, random);
         if let Some(retry) = retry {
-            self.schedule(retry.at_ms, FleetEvent::ClientRetry(retry.request));
+            self.schedule(retry.at, FleetEvent::ClientRetry(retry.request));
         }
         self.remove_if_completed(id);
     }
--- /dev/null
+++ b/simulation/src/ledgers/quota.rs
@@ -0,0 +1,179 @@
+//! The true state of tenants' quotas, which no gateway of a fleet knows, and what forwarding beyond it costs.
+
+use crate::{ClientRequest, Observer};
+use marlshelf::{
+    Action, AttemptResult, GatewayId, Milliseconds, Plan, RequestId, Timestamp, Tokens,
+    TokensPerSecond,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The true token bucket, hard limit and attempts in flight of one tenant.
+#[derive(Clone, Debug)]
+pub struct QuotaLedger {
+    updated_at: Timestamp,
+    tokens: Tokens,
+    hard_limit_tokens: Tokens,
+    lowest_hard_limit_tokens: Tokens,
+    in_flight: u32,
+}
+
+/// The value of all that a fleet forwarded.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ForwardedValue {
+    /// Within quotas.
+    pub within_quota: f64,
+    /// The penalty for what was forwarded over quota.
+    pub over_quota_cost: f64,
+}
+
+impl QuotaLedger {
+    /// A ledger with full buckets at time 0.
+    #[must_use]
+    pub fn new(plan: &Plan) -> Self {
+        QuotaLedger {
+            updated_at: Timestamp::ZERO,
+            tokens: Tokens(plan.burst),
+            hard_limit_tokens: Tokens(plan.hard_limit_burst),
+            lowest_hard_limit_tokens: Tokens::ZERO,
+            in_flight: 0,
+        }
+    }
+
+    /// How many tokens were forwarded beyond the hard limit at worst.
+    #[must_use]
+    pub fn hard_limit_excess(&self) -> Tokens {
+        -self.lowest_hard_limit_tokens
+    }
+
+    /// Refills the buckets up to this time.
+    pub fn refill(&mut self, plan: &Plan, now: Timestamp) {
+        let elapsed = now - self.updated_at;
+        self.updated_at = now;
+        self.tokens = refilled(self.tokens, plan.refill_rate, plan.burst, elapsed);
+        self.hard_limit_tokens = refilled(
+            self.hard_limit_tokens,
+            plan.hard_limit_rate,
+            plan.hard_limit_burst,
+            elapsed,
+        );
+    }
+
+    /// Whether an attempt of this cost would be within the quota and the concurrency limit.
+    #[must_use]
+    pub fn has_capacity(&self, plan: &Plan, cost: Tokens) -> bool {
+        let has_permit = plan.max_concurrency == 0 || self.in_flight < plan.max_concurrency;
+        self.tokens >= cost && has_permit
+    }
+
+    /// Starts an attempt. Returns whether it is within the quota.
+    pub fn forward(
+        &mut self,
+        plan: &Plan,
+        now: Timestamp,
+        cost: Tokens,
+        value: &mut ForwardedValue,
+    ) -> bool {
+        self.refill(plan, now);
+        self.hard_limit_tokens -= cost;
+        self.lowest_hard_limit_tokens = self.lowest_hard_limit_tokens.min(self.hard_limit_tokens);
+        let within_quota = self.has_capacity(plan, cost);
+        if within_quota {
+            self.tokens -= cost;
+            value.within_quota += plan.weight * cost.as_f64();
+        } else {
+            value.over_quota_cost += plan.over_quota_penalty * plan.weight * cost.as_f64();
+        }
+        self.in_flight += 1;
+        within_quota
+    }
+
+    /// Ends an attempt and charges these tokens in addition to its estimated cost.
+    pub fn finish(&mut self, plan: &Plan, now: Timestamp, settlement: Tokens) {
+        self.refill(plan, now);
+        self.tokens = (self.tokens - settlement).min(Tokens(plan.burst));
+        self.in_flight -= 1;
+    }
+}
+
+fn refilled(tokens: Tokens, rate: f64, burst: f64, elapsed: Milliseconds) -> Tokens {
+    (tokens + TokensPerSecond(rate).over(elapsed)).min(Tokens(burst))
+}
+
+/// What the end of an attempt charges in addition to the estimated cost, if that was charged.
+#[must_use]
+pub fn settlement(request: &ClientRequest, within_quota: bool) -> Tokens {
+    match request.actual_cost {
+        Some(actual_cost) if within_quota => actual_cost - request.cost,
+        _ => Tokens::ZERO,
+    }
+}
+
+/// Keeps the ledgers of all tenants of a fleet, and checks that no request is forwarded twice.
+///
+/// It is meant for fleets whose attempts all succeed: a retry counts as a request that is forwarded twice.
+pub struct QuotaAudit<'a> {
+    plans: &'a [Plan],
+    ledgers: Vec<QuotaLedger>,
+    value: ForwardedValue,
+    forwarded: BTreeSet<RequestId>,
+    /// Whether each attempt in flight is within its quota.
+    in_flight: BTreeMap<RequestId, bool>,
+}
+
+impl<'a> QuotaAudit<'a> {
+    /// The ledgers of tenants with these plans, at time 0.
+    #[must_use]
+    pub fn new(plans: &'a [Plan], plans_of_tenants: impl IntoIterator<Item = usize>) -> Self {
+        let ledger = |plan: usize| QuotaLedger::new(&plans[plan]);
+        QuotaAudit {
+            plans,
+            ledgers: plans_of_tenants.into_iter().map(ledger).collect(),
+            value: ForwardedValue::default(),
+            forwarded: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+        }
+    }
+
+    /// The ledgers of all tenants.
+    #[must_use]
+    pub fn ledgers(&self) -> &[QuotaLedger] {
+        &self.ledgers
+    }
+
+    /// The value of all that was forwarded.
+    #[must_use]
+    pub fn value(&self) -> ForwardedValue {
+        self.value
+    }
+}
+
+impl Observer for QuotaAudit<'_> {
+    /// # Panics
+    /// When a request is forwarded a second time.
+    fn on_action(&mut self, _now: Timestamp, _gateway: GatewayId, action: &Action) {
+        if let Action::Forward { request, .. } = action {
+            let is_first = self.forwarded.insert(*request);
+            assert!(is_first, "{request:?} is forwarded twice");
+        }
+    }
+
+    fn on_attempt_start(&mut self, now: Timestamp, id: RequestId, request: &ClientRequest) {
+        let plan = &self.plans[request.plan];
+        let ledger = &mut self.ledgers[request.tenant_index];
+        let within_quota = ledger.forward(plan, now, request.cost, &mut self.value);
+        self.in_flight.insert(id, within_quota);
+    }
+
+    fn on_attempt_end(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        request: &ClientRequest,
+        _result: AttemptResult,
+    ) {
+        let within_quota = self.in_flight.remove(&id);
+        let within_quota = within_quota.expect("an attempt that ends has started");
+        let settlement = settlement(request, within_quota);
+        self.ledgers[request.tenant_index].finish(&self.plans[request.plan], now, settlement);
+    }
+}
--- /dev/null
+++ b/simulation/src/lib.rs
@@ -0,0 +1,77 @@
+//! Simulated fleets of gateways in virtual time, the common ground of tests and tools.
+//!
+//! A [`Fleet`] runs one [`DecisionEngine`](marlshelf::DecisionEngine) for each gateway and carries out the actions of
+//! the engines as a gateway's host does. Its surroundings are models with a part each:
+//!
+//! | part | models |
+//! | --- | --- |
+//! | [`EventQueue`] | virtual time: events in the order of their times |
+//! | [`GossipNetwork`] | datagrams between gateways, with delay, loss, partitions and tampering |
+//! | [`SimulatedEndpoint`] | endpoints with cores, a bounded queue, slow start and [faults](Fault) |
+//! | [`Clients`] | requests, client deadlines, disconnects and retries |
+//! | [`Incident`] | what goes wrong, or changes, at a given time |
+//! | [`Observer`] | what a test or tool records; the [`ledgers`] check the rules of quotas and of slow start |
+//!
+//! A run is described by a [`FleetScenario`], its clients and its [`Randomness`], and gives the same result each time:
+//! nothing here reads a clock, and all random numbers come from the seeds of the run.
+//!
+//! ```
+//! use marlshelf::{GatewayId, Milliseconds, Plan, RequestClass, Settings, Timestamp};
+//! use marlshelf_simulation::{
+//!     ClientRequest, Fleet, FleetScenario, GatewaySeeds, Randomness, ScheduledClients, ScheduledRequest, Shard,
+//! };
+//! use rand::SeedableRng;
+//! use rand_pcg::Pcg64Mcg;
+//!
+//! let request = ClientRequest {
+//!     tenant: "acme".into(),
+//!     shard: Shard { start: GatewayId(0), size: 2 },
+//!     ..ClientRequest::to_gateway(GatewayId(1))
+//! };
+//! let request = ScheduledRequest { at: Timestamp(5.0), request };
+//! let clients = ScheduledClients::new(vec![request], Milliseconds(1000.0));
+//! let scenario = FleetScenario {
+//!     settings: Settings {
+//!         gateway_count: 2,
+//!         classes: vec![RequestClass {
+//!             latency_objective_ms: 500.0,
+//!             priority_weight: 1.0,
+//!             ..RequestClass::default()
+//!         }],
+//!         plans: vec![Plan { refill_rate: 10.0, burst: 20.0, weight: 1.0, ..Plan::default() }],
+//!         ..Settings::default()
+//!     },
+//!     ..FleetScenario::default()
+//! };
+//! let randomness = Randomness::shared(Pcg64Mcg::seed_from_u64(1), GatewaySeeds::first(1));
+//! let run = Fleet::new(&scenario, clients, (), randomness).run();
+//! assert_eq!(run.endpoints[0].work_received_between(Timestamp::ZERO, Timestamp(10.0)), 1.0);
+//! ```
+
+mod clients;
+mod endpoint;
+mod event_queue;
+mod fleet;
+mod gossip_network;
+mod incident;
+pub mod ledgers;
+mod observer;
+mod randomness;
+mod scenario;
+
+pub use clients::{
+    ArrivalSource, Arrivals, ClientRequest, ClientRetry, Clients, Patience, Shard,
+    scheduled::{ScheduledClients, ScheduledRequest},
+    tenants::{IdlePeriod, Surge, TenantClients, TenantTraffic},
+};
+pub use endpoint::{
+    AttemptEnd, Fault, ServiceModel, SimulatedEndpoint, SlowStart,
+    pool::{EndpointNames, EndpointPool, EndpointWeights, ResponseDelays, ResponseReports},
+};
+pub use event_queue::{EventQueue, ScheduledEvent};
+pub use fleet::{Fleet, FleetRun};
+pub use gossip_network::{Datagram, Delivery, GossipNetwork, Tampering};
+pub use incident::{EndpointIndex, Incident, PlannedIncident};
+pub use observer::Observer;
+pub use randomness::{GatewaySeeds, RandomStream, Randomness};
+pub use scenario::{FleetScenario, GatewayHost};
