--- a/tests/decisions/fleet_quotas.rs
+++ b/tests/decisions/fleet_quotas.rs
@@ -1,91 +1,90 @@
 //! Quotas over a whole fleet whose gossip is late or lost, measured against the true state of each quota.
 
-use crate::support::arrivals::{Arrival, Tenant, Workload, quiet_day};
 use crate::support::quota_fleet::{
-    GATEWAYS, HARD_LIMIT_PLAN, LATENCY_MS, QuotaFleet, ledgers, quota_fleet_settings,
+    GATEWAYS, HARD_LIMIT_PLAN, LATENCY, quota_fleet_settings, run_quota_fleet,
 };
-use crate::support::quota_ledger::{ForwardedValue, QuotaLedger, settlement};
-use marlshelf::Settings;
+use crate::support::workload::{Workload, quiet_day, request_of_tenant};
+use marlshelf::{GatewayId, Milliseconds, Plan, Settings, Timestamp, Tokens};
+use marlshelf_simulation::ledgers::{ForwardedValue, QuotaLedger, settlement};
+use marlshelf_simulation::{ClientRequest, ScheduledRequest, Shard};
 
 struct AttemptInFlight {
-    ends_at_ms: f64,
+    ends_at: Timestamp,
     tenant: usize,
-    settlement: f64,
+    settlement: Tokens,
 }
 
 /// A policy that decides by the true state of each quota as it was 100 to 200 ms ago.
 struct DelayedView<'a> {
-    settings: &'a Settings,
     workload: &'a Workload,
+    /// The plan of each tenant.
+    plans: Vec<&'a Plan>,
     ledgers: Vec<QuotaLedger>,
     /// The state that decisions see.
     visible: Vec<QuotaLedger>,
     /// The state that decisions will see next.
     next_visible: Vec<QuotaLedger>,
-    next_update_ms: f64,
+    next_update: Timestamp,
     in_flight: Vec<AttemptInFlight>,
     value: ForwardedValue,
 }
 
 impl<'a> DelayedView<'a> {
-    const UPDATE_INTERVAL_MS: f64 = 100.0;
+    const UPDATE_INTERVAL: Milliseconds = Milliseconds(100.0);
 
     fn new(settings: &'a Settings, workload: &'a Workload) -> Self {
-        let ledgers = ledgers(settings, workload);
+        let plans_of_tenants = workload.plans_of_tenants.iter();
+        let plans: Vec<&Plan> = plans_of_tenants.map(|p| &settings.plans[*p]).collect();
+        let ledgers: Vec<QuotaLedger> = plans.iter().map(|plan| QuotaLedger::new(plan)).collect();
         DelayedView {
-            settings,
             workload,
+            plans,
             visible: ledgers.clone(),
             next_visible: ledgers.clone(),
             ledgers,
-            next_update_ms: Self::UPDATE_INTERVAL_MS,
+            next_update: Timestamp::ZERO + Self::UPDATE_INTERVAL,
             in_flight: Vec::new(),
             value: ForwardedValue::default(),
         }
     }
 
     fn run(mut self) -> ForwardedValue {
-        for arrival in &self.workload.arrivals {
-            while self.next_update_ms <= arrival.at_ms {
+        for request in &self.workload.requests {
+            while self.next_update <= request.at {
                 self.update();
             }
-            self.receive(arrival);
+            self.receive(request);
         }
         self.value
     }
 
     fn update(&mut self) {
-        let now_ms = self.next_update_ms;
-        let plan = |tenant: &Tenant| &self.settings.plans[tenant.plan];
+        let now = self.next_update;
         let ended = self
             .in_flight
-            .extract_if(.., |attempt| attempt.ends_at_ms <= now_ms);
+            .extract_if(.., |attempt| attempt.ends_at <= now);
         for attempt in ended {
-            let plan = plan(&self.workload.tenants[attempt.tenant]);
-            self.ledgers[attempt.tenant].finish(plan, attempt.ends_at_ms, attempt.settlement);
+            let plan = self.plans[attempt.tenant];
+            self.ledgers[attempt.tenant].finish(plan, attempt.ends_at, attempt.settlement);
         }
-        for (ledger, tenant) in self.ledgers.iter_mut().zip(&self.workload.tenants) {
-            ledger.refill(plan(tenant), now_ms);
+        for (ledger, plan) in self.ledgers.iter_mut().zip(&self.plans) {
+            ledger.refill(plan, now);
         }
         self.visible = std::mem::replace(&mut self.next_visible, self.ledgers.clone());
-        self.next_update_ms += Self::UPDATE_INTERVAL_MS;
+        self.next_update += Self::UPDATE_INTERVAL;
     }
 
-    fn receive(&mut self, arrival: &Arrival) {
-        let plan = &self.settings.plans[self.workload.tenant_of(arrival).plan];
-        if !self.visible[arrival.tenant].has_capacity(plan, arrival.estimated_cost) {
+    fn receive(&mut self, ScheduledRequest { at, request }: &ScheduledRequest) {
+        let tenant = request.tenant_index;
+        let plan = self.plans[tenant];
+        if !self.visible[tenant].has_capacity(plan, request.cost) {
             return;
         }
-        let within_quota = self.ledgers[arrival.tenant].forward(
-            plan,
-            arrival.at_ms,
-            arrival.estimated_cost,
-            &mut self.value,
-        );
+        let within_quota = self.ledgers[tenant].forward(plan, *at, request.cost, &mut self.value);
         self.in_flight.push(AttemptInFlight {
-            ends_at_ms: arrival.at_ms + LATENCY_MS,
-            tenant: arrival.tenant,
-            settlement: settlement(arrival, within_quota),
+            ends_at: *at + LATENCY,
+            tenant,
+            settlement: settlement(request, within_quota),
         });
     }
 }
@@ -95,9 +94,10 @@
     let settings = quota_fleet_settings();
     for seed in 1..=6 {
         let workload = quiet_day(seed, &settings);
-        let fleet = QuotaFleet::new(seed, &settings, &workload).run();
+        let fleet = run_quota_fleet(seed, &settings, &workload);
+        let value = fleet.value();
         let delayed = DelayedView::new(&settings, &workload).run();
-        let cost = fleet.value.over_quota_cost / delayed.within_quota;
+        let cost = value.over_quota_cost / delayed.within_quota;
         let delayed_cost = delayed.over_quota_cost / delayed.within_quota;
 
         // The standing test allows a tenth on its own quiet days, where clients retry as well.
@@ -106,20 +106,19 @@
             "seed {seed}: expected a cost of at most {delayed_cost:.3} + 0.05 of the value, got {cost:.3}"
         );
         assert!(
-            fleet.value.within_quota >= 0.8 * delayed.within_quota,
-            "seed {seed}: expected 0.8 of the value of {delayed:?}, got {:?}",
-            fleet.value
+            value.within_quota >= 0.8 * delayed.within_quota,
+            "seed {seed}: expected 0.8 of the value of {delayed:?}, got {value:?}"
         );
         let plan_count = settings.plans.len();
         let under_hard_limit = fleet
-            .ledgers
+            .ledgers()
             .iter()
             .skip(HARD_LIMIT_PLAN)
             .step_by(plan_count);
         for ledger in under_hard_limit {
             let excess = ledger.hard_limit_excess();
             assert!(
-                excess <= 6.0,
+                excess <= Tokens(6.0),
                 "seed {seed}: expected at most 6 tokens beyond the hard limit, got {excess}"
             );
         }
@@ -128,40 +127,42 @@
 
 /// Each gateway in turn receives 25 requests of one tenant, and at the end all receive 4 at about the same time.
 fn turns_of_all_gateways() -> Workload {
-    const TURN_MS: f64 = 4000.0;
-    let mut arrivals = Vec::new();
-    let mut add = |at_ms: f64, gateway: u32| {
-        arrivals.push(Arrival {
-            at_ms,
-            gateway: gateway as usize,
-            tenant: 0,
-            estimated_cost: 1.0,
-            actual_cost: 1.0,
-        });
+    const TURN: Milliseconds = Milliseconds(4000.0);
+    let shard = Shard {
+        start: GatewayId(0),
+        size: GATEWAYS,
+    };
+    let template = request_of_tenant(0, HARD_LIMIT_PLAN, shard);
+    let mut requests = Vec::new();
+    let mut add = |at: Timestamp, gateway: u32| {
+        let request = ClientRequest {
+            gateway: GatewayId(gateway),
+            ..template.clone()
+        };
+        requests.push(ScheduledRequest { at, request });
     };
     for gateway in 0..GATEWAYS {
-        let turn_ms = TURN_MS * f64::from(gateway);
-        (0..25).for_each(|step| add(turn_ms + 160.0 * f64::from(step), gateway));
+        let turn = Timestamp::ZERO + TURN * f64::from(gateway);
+        (0..25).for_each(|step| add(turn + Milliseconds(160.0) * f64::from(step), gateway));
     }
-    let end_ms = TURN_MS * f64::from(GATEWAYS) + 5000.0;
+    let end = Timestamp::ZERO + TURN * f64::from(GATEWAYS) + Milliseconds(5000.0);
     for step in 0..4 {
-        (0..GATEWAYS).for_each(|gateway| add(end_ms + 20.0 * f64::from(step), gateway));
+        let at = end + Milliseconds(20.0) * f64::from(step);
+        (0..GATEWAYS).for_each(|gateway| add(at, gateway));
+    }
+    Workload {
+        plans_of_tenants: vec![HARD_LIMIT_PLAN],
+        requests,
     }
-    let tenants = vec![Tenant {
-        plan: HARD_LIMIT_PLAN,
-        shard_start: 0,
-        shard_size: GATEWAYS,
-    }];
-    Workload { tenants, arrivals }
 }
 
 #[test]
 fn hard_limit_holds_when_all_gateways_are_busy_after_each_was_busy_alone() {
     let settings = quota_fleet_settings();
     let workload = turns_of_all_gateways();
-    let fleet = QuotaFleet::new(1, &settings, &workload).run();
-    let slack = settings.plans[HARD_LIMIT_PLAN].hard_limit_slack;
-    let excess = fleet.ledgers[0].hard_limit_excess();
+    let fleet = run_quota_fleet(1, &settings, &workload);
+    let slack = Tokens(settings.plans[HARD_LIMIT_PLAN].hard_limit_slack);
+    let excess = fleet.ledgers()[0].hard_limit_excess();
     assert!(
         excess <= slack,
         "expected at most {slack} tokens beyond the hard limit, got {excess}"
--- a/tests/decisions/support/mod.rs
+++ b/tests/decisions/support/mod.rs
@@ -1,16 +1,15 @@
 //! Stand-ins for what surrounds a decision engine: gateways, endpoints, clients and the links between them.
 
 pub mod actions;
-pub mod arrivals;
 pub mod event_queue;
 pub mod gateway;
 pub mod gateway_pair;
 pub mod gossip_text;
 pub mod quota_fleet;
-pub mod quota_ledger;
 pub mod recorded_gossip;
 pub mod recorded_scenario;
 pub mod requests;
 pub mod settings;
 pub mod simulated_endpoint;
 pub mod slow_start_fleet;
+pub mod workload;
--- a/tests/decisions/support/quota_fleet.rs
+++ b/tests/decisions/support/quota_fleet.rs
@@ -1,31 +1,29 @@
 //! A simulated fleet of gateways that share quotas over a network with late and lost gossip.
 
-use super::arrivals::{Arrival, Workload};
-use super::event_queue::EventQueue;
-use super::gateway::{TestGateway, endpoint};
-use super::quota_ledger::{ForwardedValue, QuotaLedger, settlement};
-use super::requests::success;
-use marlshelf::{
-    Action, AttemptOutcome, EndpointName, Event, GatewayId, Plan, Request, RequestClass, RequestId,
-    Settings, TimerToken,
+use super::workload::Workload;
+use marlshelf::{Milliseconds, Plan, RequestClass, Settings};
+use marlshelf_simulation::ledgers::QuotaAudit;
+use marlshelf_simulation::{
+    EndpointNames, EndpointPool, Fleet, FleetScenario, GatewaySeeds, GossipNetwork, RandomStream,
+    Randomness, ResponseDelays, ScheduledClients, ServiceModel,
 };
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use std::collections::BTreeSet;
 
 pub const GATEWAYS: u32 = 40;
-/// The length of a simulated day.
-pub const DAY_MS: f64 = 40_000.0;
 /// How long each attempt takes.
-pub const LATENCY_MS: f64 = 150.0;
+pub const LATENCY: Milliseconds = Milliseconds(150.0);
 /// A plan of `quota_fleet_settings` with nothing but a token bucket.
 pub const QUOTA_PLAN: usize = 1;
 /// The plan of `quota_fleet_settings` with a hard limit.
 pub const HARD_LIMIT_PLAN: usize = 3;
-/// The part of all gossip that is lost.
+/// The fraction of all gossip that is lost.
 const GOSSIP_LOSS: f64 = 0.05;
 /// How long a client waits for its answer.
-const CLIENT_TIMEOUT_MS: f64 = 4000.0;
+const CLIENT_TIMEOUT: Milliseconds = Milliseconds(4000.0);
+const ENDPOINTS: usize = 30;
+/// More than an endpoint ever uses, so that each attempt takes the same time.
+const CORES: usize = 100;
 
 /// A fleet with plans of each kind of limit.
 pub fn quota_fleet_settings() -> Settings {
@@ -68,198 +66,50 @@
     }
 }
 
-/// The ledgers of all tenants at the start.
-pub fn ledgers(settings: &Settings, workload: &Workload) -> Vec<QuotaLedger> {
-    workload
-        .tenants
-        .iter()
-        .map(|tenant| QuotaLedger::new(&settings.plans[tenant.plan]))
-        .collect()
-}
-
-/// What a simulated fleet forwarded.
-pub struct QuotaFleetResult {
-    pub value: ForwardedValue,
-    /// The ledgers of all tenants at the end.
-    pub ledgers: Vec<QuotaLedger>,
-}
-
-enum GatewayEvent {
-    RequestArrives(usize),
-    GossipArrives {
-        from: u32,
-        text: String,
-    },
-    TimerFires(u64),
-    AttemptEnds {
-        request: u64,
-        endpoint: EndpointName,
-        within_quota: bool,
-    },
-}
-
-struct ScheduledEvent {
-    gateway: usize,
-    event: GatewayEvent,
-}
-
-pub struct QuotaFleet<'a> {
-    settings: &'a Settings,
-    workload: &'a Workload,
-    rng: Pcg64Mcg,
-    gateways: Vec<TestGateway>,
-    queue: EventQueue<ScheduledEvent>,
-    forwarded: BTreeSet<u64>,
-    result: QuotaFleetResult,
-}
-
-impl<'a> QuotaFleet<'a> {
-    pub fn new(seed: u64, settings: &'a Settings, workload: &'a Workload) -> Self {
-        let gateways = (0..GATEWAYS).map(|gateway| start_gateway(seed, settings, gateway));
-        QuotaFleet {
-            settings,
-            workload,
-            rng: Pcg64Mcg::seed_from_u64(seed ^ 0xfee1),
-            gateways: gateways.collect(),
-            queue: EventQueue::new(),
-            forwarded: BTreeSet::new(),
-            result: QuotaFleetResult {
-                value: ForwardedValue::default(),
-                ledgers: ledgers(settings, workload),
-            },
-        }
-    }
-
-    /// Runs the whole workload through the gateways.
-    pub fn run(mut self) -> QuotaFleetResult {
-        let workload = self.workload;
-        for (index, arrival) in workload.arrivals.iter().enumerate() {
-            let event = GatewayEvent::RequestArrives(index);
-            self.schedule(arrival.at_ms, arrival.gateway, event);
-        }
-        while let Some((now_ms, ScheduledEvent { gateway, event })) = self.queue.pop() {
-            let event = self.engine_event(now_ms, event);
-            for action in self.gateways[gateway].handle(now_ms, event) {
-                self.execute(now_ms, gateway, action);
-            }
-        }
-        self.result
-    }
-
-    fn schedule(&mut self, at_ms: f64, gateway: usize, event: GatewayEvent) {
-        self.queue.insert(at_ms, ScheduledEvent { gateway, event });
-    }
-
-    fn arrival(&self, request: u64) -> &'a Arrival {
-        &self.workload.arrivals[request as usize]
-    }
-
-    fn plan_of(&self, arrival: &Arrival) -> &'a Plan {
-        &self.settings.plans[self.workload.tenant_of(arrival).plan]
-    }
-
-    fn engine_event(&mut self, now_ms: f64, event: GatewayEvent) -> Event {
-        match event {
-            GatewayEvent::RequestArrives(index) => {
-                Event::RequestReceived(self.request(now_ms, index))
-            }
-            GatewayEvent::GossipArrives { from, text } => Event::GossipReceived {
-                from: GatewayId(from),
-                text,
-            },
-            GatewayEvent::TimerFires(token) => Event::TimerFired {
-                token: TimerToken(token),
+/// Endpoints that serve every request in the same time.
+fn endpoints() -> EndpointPool {
+    EndpointPool {
+        count: ENDPOINTS,
+        names: EndpointNames {
+            initial: |index| format!("s{index}"),
+            ..EndpointNames::default()
+        },
+        service: ServiceModel {
+            cores: CORES,
+            service_time: LATENCY,
+            delays: ResponseDelays {
+                network: Milliseconds::ZERO,
+                ..ResponseDelays::default()
             },
-            GatewayEvent::AttemptEnds {
-                request,
-                endpoint,
-                within_quota,
-            } => {
-                let arrival = self.arrival(request);
-                let plan = self.plan_of(arrival);
-                let settlement = settlement(arrival, within_quota);
-                self.result.ledgers[arrival.tenant].finish(plan, now_ms, settlement);
-                Event::AttemptFinished(AttemptOutcome {
-                    actual_cost: Some(arrival.actual_cost),
-                    ..success(request, &endpoint, LATENCY_MS)
-                })
-            }
-        }
-    }
-
-    fn request(&self, now_ms: f64, index: usize) -> Request {
-        let arrival = &self.workload.arrivals[index];
-        let tenant = self.workload.tenant_of(arrival);
-        Request {
-            id: RequestId(index as u64),
-            tenant: format!("c{}", arrival.tenant).into(),
-            class: 0,
-            plan: tenant.plan,
-            cost: arrival.estimated_cost,
-            shard_start: GatewayId(tenant.shard_start),
-            shard_size: tenant.shard_size,
-            client_deadline_ms: now_ms + CLIENT_TIMEOUT_MS,
-            is_retry: false,
-        }
-    }
-
-    fn execute(&mut self, now_ms: f64, gateway: usize, action: Action) {
-        match action {
-            Action::Forward {
-                request: RequestId(request),
-                endpoint,
-                ..
-            } => self.forward(now_ms, gateway, request, endpoint),
-            Action::SendGossip {
-                to: GatewayId(to),
-                text,
-            } if self.rng.random::<f64>() >= GOSSIP_LOSS => {
-                let delay_ms = self.rng.random_range(3.0..23.0);
-                let from = gateway as u32;
-                let event = GatewayEvent::GossipArrives { from, text };
-                self.schedule(now_ms + delay_ms, to as usize, event);
-            }
-            Action::SetTimer {
-                token: TimerToken(token),
-                delay_ms,
-            } => {
-                let event = GatewayEvent::TimerFires(token);
-                self.schedule(now_ms + delay_ms, gateway, event);
-            }
-            _ => {}
-        }
-    }
-
-    fn forward(&mut self, now_ms: f64, gateway: usize, request: u64, endpoint: EndpointName) {
-        assert!(
-            self.forwarded.insert(request),
-            "request {request} is forwarded twice"
-        );
-        let arrival = self.arrival(request);
-        let plan = self.plan_of(arrival);
-        let within_quota = self.result.ledgers[arrival.tenant].forward(
-            plan,
-            now_ms,
-            arrival.estimated_cost,
-            &mut self.result.value,
-        );
-        let event = GatewayEvent::AttemptEnds {
-            request,
-            endpoint,
-            within_quota,
-        };
-        self.schedule(now_ms + LATENCY_MS, gateway, event);
+            ..ServiceModel::default()
+        },
+        ..EndpointPool::default()
     }
 }
 
-fn start_gateway(seed: u64, settings: &Settings, gateway: u32) -> TestGateway {
-    let settings = Settings {
-        gateway: GatewayId(gateway),
-        ..settings.clone()
+/// Runs the whole workload through a fleet, and returns the true state of all quotas at the end.
+pub fn run_quota_fleet<'a>(
+    seed: u64,
+    settings: &'a Settings,
+    workload: &Workload,
+) -> QuotaAudit<'a> {
+    let scenario = FleetScenario {
+        settings: settings.clone(),
+        endpoints: endpoints(),
+        gossip: GossipNetwork {
+            loss_ratio: GOSSIP_LOSS,
+            delay: Milliseconds(3.0)..Milliseconds(23.0),
+            ..GossipNetwork::default()
+        },
+        ..FleetScenario::default()
     };
-    let seed = seed.wrapping_mul(97) + u64::from(gateway);
-    let endpoints = (0..30)
-        .map(|index| endpoint(&format!("s{index}"), 0))
-        .collect();
-    TestGateway::with_endpoints(settings, seed, endpoints)
+    let clients = ScheduledClients::new(workload.requests.clone(), CLIENT_TIMEOUT);
+    let audit = QuotaAudit::new(&settings.plans, workload.plans_of_tenants.iter().copied());
+    let generator = Pcg64Mcg::seed_from_u64(seed ^ 0xfee1);
+    let gateway_seeds = GatewaySeeds::first(seed.wrapping_mul(97));
+    let randomness = Randomness::shared(generator.clone(), gateway_seeds)
+        .with_separate(RandomStream::Gossip, generator);
+    Fleet::new(&scenario, clients, audit, randomness)
+        .run()
+        .observer
 }
--- /dev/null
+++ b/tests/decisions/support/workload.rs
@@ -0,0 +1,98 @@
+//! Requests of a fleet's tenants over time, generated from a seed.
+
+use super::quota_fleet::GATEWAYS;
+use marlshelf::{GatewayId, Milliseconds, Settings, Timestamp, Tokens};
+use marlshelf_simulation::{ClientRequest, ScheduledRequest, Shard};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+/// The end of a simulated day, which starts at time 0.
+const END_OF_DAY: Timestamp = Timestamp(40_000.0);
+/// The number of tenants of a quiet day.
+const TENANTS: usize = 48;
+/// The mean cost of a request of a quiet day.
+const MEAN_COST: f64 = 3.0;
+/// The largest cost that a request states.
+const MAX_COST: f64 = 6.0;
+/// Half of a tenant's requests arrive at one gateway, which changes after this time.
+const PREFERRED_GATEWAY_TIME: Milliseconds = Milliseconds(5000.0);
+
+/// All requests of a simulation.
+pub struct Workload {
+    /// The plan of each tenant.
+    pub plans_of_tenants: Vec<usize>,
+    /// The requests in the order of arrival.
+    pub requests: Vec<ScheduledRequest>,
+}
+
+/// A tenant's request of the least cost and work. Its cost and gateway are yet to be chosen.
+pub fn request_of_tenant(tenant_index: usize, plan: usize, shard: Shard) -> ClientRequest {
+    ClientRequest {
+        tenant: format!("c{tenant_index}").into(),
+        tenant_index,
+        shard,
+        plan,
+        actual_cost: Some(Tokens(1.0)),
+        ..ClientRequest::to_gateway(shard.start)
+    }
+}
+
+/// A quiet day: most tenants use a part of their quota, some nearly all, one in eight three times as much.
+pub fn quiet_day(seed: u64, settings: &Settings) -> Workload {
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
+    let plan_of = |tenant: usize| tenant % settings.plans.len();
+    let mut requests = Vec::new();
+    for tenant in 0..TENANTS {
+        let plan = plan_of(tenant);
+        let size = random.random_range(GATEWAYS / 2..=GATEWAYS);
+        let start = GatewayId(random.random_range(0..GATEWAYS));
+        let utilization = match random.random_range(0..8) {
+            0 => 3.0,
+            1 => 0.95,
+            _ => random.random_range(0.25..0.5),
+        };
+        let tokens_per_second = utilization * settings.plans[plan].refill_rate;
+        let mean_interval = Milliseconds(1000.0 * MEAN_COST / tokens_per_second);
+        let request = request_of_tenant(tenant, plan, Shard { start, size });
+        add_requests(&mut requests, &mut random, &request, mean_interval);
+    }
+    requests.sort_by(|a, b| a.at.as_f64().total_cmp(&b.at.as_f64()));
+    Workload {
+        plans_of_tenants: (0..TENANTS).map(plan_of).collect(),
+        requests,
+    }
+}
+
+/// Adds a day of requests like `template`.
+fn add_requests(
+    requests: &mut Vec<ScheduledRequest>,
+    random: &mut Pcg64Mcg,
+    template: &ClientRequest,
+    mean_interval: Milliseconds,
+) {
+    let shard = template.shard;
+    let mut at = Timestamp::ZERO;
+    let mut preferred = 0;
+    let mut preferred_until = Timestamp::ZERO;
+    loop {
+        at += -mean_interval * (1.0 - random.random::<f64>()).ln();
+        if at >= END_OF_DAY {
+            return;
+        }
+        if at >= preferred_until {
+            preferred = random.random_range(0..shard.size);
+            preferred_until = at + PREFERRED_GATEWAY_TIME;
+        }
+        let any = random.random_range(0..shard.size);
+        let offset = if random.random() { preferred } else { any };
+        let actual_cost = f64::from(random.random_range(1..=5u32));
+        let estimated_cost = (actual_cost * random.random_range(0.5..1.6f64)).round();
+        let request = ClientRequest {
+            gateway: GatewayId((shard.start.0 + offset) % GATEWAYS),
+            cost: Tokens(estimated_cost.clamp(1.0, MAX_COST)),
+            actual_cost: Some(Tokens(actual_cost)),
+            ..template.clone()
+        };
+        requests.push(ScheduledRequest { at, request });
+    }
+}
