--- a/tests/decisions/slow_start_fleet.rs
+++ b/tests/decisions/slow_start_fleet.rs
@@ -2,10 +2,12 @@
 //! that warms up fails when in any window it is sent more than a multiple of its present capacity, and requests
 //! that it rejects count as well.
 
-use crate::support::simulated_endpoint::{SimulatedEndpoint, WARMUP_MS};
 use crate::support::slow_start_fleet::{
-    FIRST_START_MS, FleetSize, RUN_AFTER_START_MS, Rollout, RolloutKind, SlowStartFleet,
+    FIRST_START, FleetSize, RUN_AFTER_START, Rollout, RolloutKind, RolloutRun, SLOW_START,
+    run_rollout,
 };
+use marlshelf::{EndpointState, Milliseconds, Timestamp};
+use marlshelf_simulation::SimulatedEndpoint;
 use std::fmt;
 use std::ops::Range;
 
@@ -46,19 +48,19 @@
 const ROLLING_RESTART: Rollout = Rollout {
     kind: RolloutKind::Restart,
     part: 0.3,
-    interval_ms: 500.0,
+    interval: Milliseconds(500.0),
     burst: false,
 };
 const HALF_AT_ONCE: Rollout = Rollout {
     kind: RolloutKind::Restart,
     part: 0.5,
-    interval_ms: 0.0,
+    interval: Milliseconds::ZERO,
     burst: false,
 };
 const NEARLY_ALL_REPLACED: Rollout = Rollout {
     kind: RolloutKind::Replacement,
     part: 0.9,
-    interval_ms: 0.0,
+    interval: Milliseconds::ZERO,
     burst: false,
 };
 
@@ -91,17 +93,18 @@
 }
 
 impl Measurements {
-    fn of(fleet: &SlowStartFleet) -> Self {
+    fn of(fleet: &RolloutRun) -> Self {
+        let rule = fleet.size.overload_rule();
         let overloads: Vec<f64> = new_endpoints(fleet)
-            .map(SimulatedEndpoint::worst_overload)
+            .map(|endpoint| rule.worst_overload(endpoint))
             .collect();
         Measurements {
             failed_endpoints: overloads.iter().filter(|part| **part > 1.0).count(),
             worst_overload: overloads.into_iter().fold(0.0, f64::max),
             ramp: Ramp {
-                just_started: share_of_traffic(fleet, 0.0..4000.0),
-                half_warm: share_of_traffic(fleet, 6000.0..10_000.0),
-                warm: share_of_traffic(fleet, WARMUP_MS..RUN_AFTER_START_MS),
+                just_started: share_of_traffic(fleet, Milliseconds(0.0)..Milliseconds(4000.0)),
+                half_warm: share_of_traffic(fleet, Milliseconds(6000.0)..Milliseconds(10_000.0)),
+                warm: share_of_traffic(fleet, SLOW_START.warmup..RUN_AFTER_START),
             },
             served: served_during_warmup(fleet),
         }
@@ -128,56 +131,57 @@
     }
 }
 
-fn new_endpoints(fleet: &SlowStartFleet) -> impl Iterator<Item = &SimulatedEndpoint> {
-    fleet.endpoints.iter().filter(|e| e.has_restarted())
+fn new_endpoints(fleet: &RolloutRun) -> impl Iterator<Item = &SimulatedEndpoint> {
+    let endpoints = fleet.endpoints.iter();
+    endpoints.filter(|endpoint| endpoint.started_at() > Timestamp::ZERO)
 }
 
-fn offered_work(fleet: &SlowStartFleet, time_ms: Range<f64>) -> f64 {
-    fleet
-        .requests
-        .iter()
-        .filter(|request| time_ms.contains(&request.arrived_at_ms))
-        .map(|request| request.work)
-        .sum()
+fn running_endpoints(fleet: &RolloutRun) -> impl Iterator<Item = &SimulatedEndpoint> {
+    let endpoints = fleet.endpoints.iter();
+    endpoints.filter(|endpoint| endpoint.entry.state == EndpointState::Ready)
+}
+
+fn offered_work(fleet: &RolloutRun, period: &Range<Timestamp>) -> f64 {
+    let requests = fleet.requests.iter();
+    let offered = requests.filter(|request| period.contains(&request.arrived_at));
+    offered.map(|request| request.work).sum()
+}
+
+fn served_work(fleet: &RolloutRun, period: &Range<Timestamp>) -> f64 {
+    let requests = fleet.requests.iter();
+    let served = requests.filter(|request| request.served && period.contains(&request.arrived_at));
+    served.map(|request| request.work).sum()
 }
 
 /// What new endpoints got of an even part of the traffic in this time after their starts.
-fn share_of_traffic(fleet: &SlowStartFleet, after_start_ms: Range<f64>) -> f64 {
-    let running = fleet.endpoints.iter().filter(|e| e.accepts_connections);
-    let time_of = |endpoint: &SimulatedEndpoint| {
-        let started_at_ms = endpoint.started_at_ms;
-        started_at_ms + after_start_ms.start..started_at_ms + after_start_ms.end
+fn share_of_traffic(fleet: &RolloutRun, after_start: Range<Milliseconds>) -> f64 {
+    let period_of = |endpoint: &SimulatedEndpoint| {
+        let started_at = endpoint.started_at();
+        started_at + after_start.start..started_at + after_start.end
     };
     let received: f64 = new_endpoints(fleet)
         .map(|endpoint| {
-            let time_ms = time_of(endpoint);
-            endpoint.work_between(time_ms.start, time_ms.end)
+            let period = period_of(endpoint);
+            endpoint.work_received_between(period.start, period.end)
         })
         .sum();
     let offered: f64 = new_endpoints(fleet)
-        .map(|endpoint| offered_work(fleet, time_of(endpoint)))
+        .map(|endpoint| offered_work(fleet, &period_of(endpoint)))
         .sum();
-    received * running.count() as f64 / offered
+    received * running_endpoints(fleet).count() as f64 / offered
 }
 
-fn served_during_warmup(fleet: &SlowStartFleet) -> f64 {
+fn served_during_warmup(fleet: &RolloutRun) -> f64 {
     let (mut possible, mut served) = (0.0, 0.0);
-    for second in 0..(WARMUP_MS / 1000.0) as u32 {
-        let start_ms = FIRST_START_MS + 1000.0 * f64::from(second);
-        let time_ms = start_ms..FIRST_START_MS + 1000.0 * f64::from(second + 1);
-        let capacity: f64 = fleet
-            .endpoints
-            .iter()
-            .filter(|e| e.accepts_connections && e.started_at_ms <= start_ms)
-            .map(|e| e.capacity * e.warmth(start_ms))
+    for second in 0..(SLOW_START.warmup.as_f64() / 1000.0) as u32 {
+        let start = FIRST_START + Milliseconds(1000.0) * f64::from(second);
+        let period = start..FIRST_START + Milliseconds(1000.0) * f64::from(second + 1);
+        let capacity: f64 = running_endpoints(fleet)
+            .filter(|endpoint| endpoint.started_at() <= start)
+            .map(|endpoint| fleet.size.capacity * endpoint.warmth(start))
             .sum();
-        possible += capacity.min(offered_work(fleet, time_ms.clone()));
-        served += fleet
-            .requests
-            .iter()
-            .filter(|request| request.served && time_ms.contains(&request.arrived_at_ms))
-            .map(|request| request.work)
-            .sum::<f64>();
+        possible += capacity.min(offered_work(fleet, &period));
+        served += served_work(fleet, &period);
     }
     served / possible
 }
@@ -187,7 +191,7 @@
     let mut failures = Vec::new();
     for size in sizes {
         for seed in 1..=SEEDS {
-            let fleet = SlowStartFleet::new(*size, rollout, seed).run();
+            let fleet = run_rollout(*size, rollout, seed);
             let measurements = Measurements::of(&fleet);
             let line = format!("{} gateways, seed {seed}: {measurements}", size.gateways);
             println!("{line}");
--- a/tests/decisions/support/mod.rs
+++ b/tests/decisions/support/mod.rs
@@ -1,7 +1,6 @@
 //! Stand-ins for what surrounds a decision engine: gateways, endpoints, clients and the links between them.
 
 pub mod actions;
-pub mod event_queue;
 pub mod gateway;
 pub mod gateway_pair;
 pub mod gossip_text;
@@ -10,6 +9,5 @@
 pub mod recorded_scenario;
 pub mod requests;
 pub mod settings;
-pub mod simulated_endpoint;
 pub mod slow_start_fleet;
 pub mod workload;
--- a/tests/decisions/support/recorded_scenario.rs
+++ b/tests/decisions/support/recorded_scenario.rs
@@ -1,16 +1,19 @@
 //! The scenario that `recorded_gossip` is a recording of: three gateways, a tenant for each kind of plan, slow
 //! attempts that have to renew their permits, and a partition.
 //!
+//! It is no scenario of a `marlshelf_simulation::Fleet`: a run may replace all gateways but one by their recorded
+//! gossip, and the ids, latencies and costs of its requests are part of the recording.
+//!
 //! Everything here is fixed. A change of a number needs a new recording by the engine of the recorded commit.
 
-use super::event_queue::EventQueue;
 use super::gateway::{TestGateway, default_endpoints};
 use super::recorded_gossip::{GOSSIP, OUTCOMES};
 use super::requests::{TestRequest, request, success};
 use marlshelf::{
     Action, AttemptOutcome, Event, GatewayId, Idempotency, Plan, RequestClass, RequestId, Settings,
-    TimerToken,
+    TimerToken, Timestamp,
 };
+use marlshelf_simulation::{EventQueue, ScheduledEvent};
 use std::ops::Range;
 
 pub const GATEWAYS: u32 = 3;
@@ -197,7 +200,7 @@
     fn with_gateways(gateways: Vec<Option<TestGateway>>) -> Self {
         let mut scenario = RecordedScenario {
             gateways,
-            queue: EventQueue::new(),
+            queue: EventQueue::default(),
             log: ScenarioLog::default(),
         };
         scenario.schedule_requests();
@@ -205,7 +208,8 @@
     }
 
     fn run(mut self) -> ScenarioLog {
-        while let Some((now_ms, GatewayEvent { gateway, event })) = self.queue.pop() {
+        while let Some(ScheduledEvent { at, event }) = self.queue.pop() {
+            let (now_ms, GatewayEvent { gateway, event }) = (at.as_f64(), event);
             let Some(engine) = &mut self.gateways[gateway as usize] else {
                 continue;
             };
@@ -232,7 +236,8 @@
     }
 
     fn schedule(&mut self, at_ms: f64, gateway: u32, event: Event) {
-        self.queue.insert(at_ms, GatewayEvent { gateway, event });
+        let event = GatewayEvent { gateway, event };
+        self.queue.schedule(Timestamp(at_ms), event);
     }
 
     /// Delivers a datagram after the delay of the link, if there is no partition.
--- a/tests/decisions/support/settings.rs
+++ b/tests/decisions/support/settings.rs
@@ -1,6 +1,6 @@
 //! Settings for gateways under test.
 
-use super::simulated_endpoint::{INITIAL_WARMTH, OVERLOAD_MULTIPLE, WARMUP_MS};
+use super::slow_start_fleet::{OVERLOAD_MULTIPLE, SLOW_START};
 use marlshelf::{DeduplicationScope, Idempotency, Plan, RequestClass, Settings};
 
 /// The class of `settings()` that may be retried without limit, of the lowest priority.
@@ -132,8 +132,8 @@
         max_attempts: 3,
         gossip_enabled: true,
         gossip_intake_per_second: 60.0,
-        initial_warmth: INITIAL_WARMTH,
-        warmup_ms: WARMUP_MS,
+        initial_warmth: SLOW_START.initial_warmth,
+        warmup_ms: SLOW_START.warmup.as_f64(),
         warmup_overload_multiple: OVERLOAD_MULTIPLE,
         ..Settings::default()
     }
--- a/tests/gateway/notification_deadline.rs
+++ b/tests/gateway/notification_deadline.rs
@@ -1,5 +1,9 @@
 //! Fleets that follow one discovery service, in virtual time: whatever has failed, every gateway is notified of
 //! a change within 6 s of the time at which discovery could be reached again.
+//!
+//! This is no fleet of `marlshelf_simulation`, which runs decision engines on an event queue of its own. What is under
+//! test here is the asynchronous code that follows discovery over byte streams, so tokio's paused clock is the event
+//! queue, and each fault is a state of a connection or of an HTTP response.
 
 use crate::stand_in_discovery::{FAULTS, Fault, LATE_HEAD, Network, Service};
 use crate::support::TEST_TIMEOUT;
