--- a/examples/decision_digest/digest.rs
+++ b/examples/decision_digest/digest.rs
@@ -41,20 +41,20 @@
             Action::Forward {
                 request,
                 endpoint,
-                deadline_ms,
+                deadline,
             } => {
                 self.tag(1);
                 self.integer(request.0);
                 self.text(endpoint);
-                self.float(*deadline_ms);
+                self.float(deadline.as_f64());
             }
             Action::Reject {
                 request,
-                retry_after_ms,
+                retry_after,
             } => {
                 self.tag(2);
                 self.integer(request.0);
-                self.float(*retry_after_ms);
+                self.float(retry_after.as_f64());
             }
             Action::Fail { request } => {
                 self.tag(3);
@@ -65,10 +65,10 @@
                 self.integer(u64::from(to.0));
                 self.text(text);
             }
-            Action::SetTimer { token, delay_ms } => {
+            Action::SetTimer { token, delay } => {
                 self.tag(7);
                 self.integer(token.0);
-                self.float(*delay_ms);
+                self.float(delay.as_f64());
             }
         }
     }
--- a/examples/decision_digest/scenario/small_fleets.rs
+++ b/examples/decision_digest/scenario/small_fleets.rs
@@ -2,7 +2,7 @@
 
 use super::Scenario;
 use super::defaults::{base, endpoint_faults, fault, plans, restart, restart_gateway};
-use marlshelf::{Milliseconds, Timestamp};
+use marlshelf::{Milliseconds, Timestamp, Tokens};
 use marlshelf_simulation::{EndpointWeights, Fault, IdlePeriod, Surge, Tampering};
 
 /// All scenarios of small fleets, in the order of the output.
@@ -71,7 +71,7 @@
 fn three_without_gossip() -> Scenario {
     let mut scenario = base("three-without-notes", 3, 1.0);
     scenario.fleet.settings.gossip_enabled = false;
-    scenario.fleet.settings.max_request_cost = 0.0;
+    scenario.fleet.settings.max_request_cost = Tokens::ZERO;
     scenario.fleet.incidents = vec![restart(Timestamp(5000.0), 3)];
     scenario
 }
@@ -154,7 +154,7 @@
 fn three_long_requests() -> Scenario {
     let mut scenario = base("three-long-requests", 3, 1.0);
     for class in &mut scenario.fleet.settings.classes {
-        class.latency_objective_ms = 200_000.0;
+        class.latency_objective = Milliseconds(200_000.0);
         class.late_answer_weight = 0.5;
     }
     scenario.fleet.endpoints.service.service_time = Milliseconds(40_000.0);
--- a/simulation/src/clients/mod.rs
+++ b/simulation/src/clients/mod.rs
@@ -3,7 +3,7 @@
 pub mod scheduled;
 pub mod tenants;
 
-use marlshelf::{GatewayId, Milliseconds, TenantName, Timestamp, Tokens};
+use marlshelf::{ClassIndex, GatewayId, Milliseconds, PlanIndex, TenantName, Timestamp, Tokens};
 use rand_pcg::Pcg64Mcg;
 
 /// The gateways that receive a tenant's requests.
@@ -25,9 +25,9 @@
     /// The gateways that receive the tenant's requests.
     pub shard: Shard,
     /// The index of the class, which may not exist.
-    pub class: usize,
+    pub class: ClassIndex,
     /// The index of the plan, which may not exist.
-    pub plan: usize,
+    pub plan: PlanIndex,
     /// The cost that the request states.
     pub cost: Tokens,
     /// The cost that the response states. Without it the endpoint decides.
@@ -51,8 +51,8 @@
                 start: gateway,
                 size: 1,
             },
-            class: 0,
-            plan: 0,
+            class: ClassIndex(0),
+            plan: PlanIndex(0),
             cost: Tokens(1.0),
             actual_cost: None,
             work: 1.0,
--- a/simulation/src/clients/tenants.rs
+++ b/simulation/src/clients/tenants.rs
@@ -2,7 +2,9 @@
 //! retries.
 
 use super::{ArrivalSource, Arrivals, ClientRequest, ClientRetry, Clients, Patience, Shard};
-use marlshelf::{GatewayId, Milliseconds, Settings, TenantName, Timestamp, Tokens};
+use marlshelf::{
+    ClassIndex, GatewayId, Milliseconds, PlanIndex, Settings, TenantName, Timestamp, Tokens,
+};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
@@ -31,8 +33,8 @@
 const DISCONNECT_DELAY: Milliseconds = Milliseconds(5.0);
 /// The smallest cost of a request, in tokens.
 const MIN_COST: f64 = 0.5;
-/// The least upper bound of the costs, in tokens, for settings that allow smaller ones only.
-const LEAST_MAX_COST: f64 = 1.0;
+/// The least upper bound of the costs, for settings that allow smaller ones only.
+const LEAST_MAX_COST: Tokens = Tokens(1.0);
 
 /// A period with more requests than usual.
 #[derive(Clone, Debug)]
@@ -77,7 +79,7 @@
 
 struct Tenant {
     name: TenantName,
-    plan: usize,
+    plan: PlanIndex,
     shard: Shard,
 }
 
@@ -86,7 +88,7 @@
     tenants: Vec<Tenant>,
     gateway_count: u32,
     latency_objectives: Vec<Milliseconds>,
-    max_cost: f64,
+    max_cost: Tokens,
     traffic: TenantTraffic,
 }
 
@@ -103,21 +105,18 @@
         let tenants = (0..traffic.tenants)
             .map(|index| Tenant {
                 name: format!("tenant-{index}").into(),
-                plan: index % plan_count,
+                plan: PlanIndex(index % plan_count),
                 shard: Shard {
                     start: GatewayId(random.random_range(0..settings.gateway_count)),
                     size: shard_sizes[index / plan_count % shard_sizes.len()],
                 },
             })
             .collect();
-        let objectives = settings
-            .classes
-            .iter()
-            .map(|class| class.latency_objective_ms);
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
         TenantClients {
             tenants,
             gateway_count: settings.gateway_count,
-            latency_objectives: objectives.map(Milliseconds).collect(),
+            latency_objectives: objectives.collect(),
             max_cost: settings.max_request_cost.max(LEAST_MAX_COST),
             traffic: traffic.clone(),
         }
@@ -139,14 +138,14 @@
         let tenant_index = (self.tenants.len() as f64 * random.random::<f64>().powi(2)) as usize;
         let tenant = &self.tenants[tenant_index];
         let class_count = self.latency_objectives.len();
-        let mut class = random.random_range(0..class_count);
+        let mut class = ClassIndex(random.random_range(0..class_count));
         let mut plan = tenant.plan;
-        let cost = (random.random_range(MIN_COST..self.max_cost) * 10.0).round() / 10.0;
+        let cost = (random.random_range(MIN_COST..self.max_cost.as_f64()) * 10.0).round() / 10.0;
         if random.random::<f64>() < self.traffic.invalid_ratio {
             if random.random() {
-                class = class_count + 3;
+                class = ClassIndex(class_count + 3);
             } else {
-                plan += 1000;
+                plan = PlanIndex(plan.0 + 1000);
             }
         }
         let gateway = self.select_gateway(tenant.shard, now, random);
@@ -158,7 +157,7 @@
             plan,
             cost: Tokens(cost),
             actual_cost: None,
-            work: 0.4 + 0.2 * cost + 0.15 * class as f64,
+            work: 0.4 + 0.2 * cost + 0.15 * class.0 as f64,
             retries: 0,
             gateway,
         })
@@ -213,7 +212,7 @@
         now: Timestamp,
         random: &mut Pcg64Mcg,
     ) -> Patience {
-        let objective = self.latency_objectives.get(request.class);
+        let objective = self.latency_objectives.get(request.class.0);
         let objective = objective.copied().unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
         let deadline = now + objective * random.random_range(TIMEOUT_OBJECTIVES);
         let is_early = random.random::<f64>() < self.traffic.disconnect_ratio;
--- a/simulation/src/endpoint/mod.rs
+++ b/simulation/src/endpoint/mod.rs
@@ -4,7 +4,8 @@
 
 use crate::ledgers::ReceivedWork;
 use marlshelf::{
-    AttemptResult, Endpoint, EndpointName, EndpointState, LoadReport, Milliseconds, Timestamp,
+    AttemptResult, CellId, Endpoint, EndpointName, EndpointState, HardwareId, LoadReport,
+    Milliseconds, Timestamp, ZoneId,
 };
 use pool::{EndpointPool, ResponseDelays};
 use rand::Rng;
@@ -137,12 +138,12 @@
         SimulatedEndpoint {
             entry: Endpoint {
                 name,
-                zone: number % pool.zones,
-                cell: number % pool.cells,
-                hardware,
+                zone: ZoneId(number % pool.zones),
+                cell: CellId(number % pool.cells),
+                hardware: HardwareId(hardware),
                 weight: pool.weight(number),
                 state: EndpointState::Ready,
-                started_at_ms: started_at.as_f64(),
+                started_at,
             },
             fault: Fault::None,
             slowdown: 1.0,
@@ -159,7 +160,7 @@
     /// When its process last started; [`Timestamp::ZERO`] if it has run since before the simulation.
     #[must_use]
     pub fn started_at(&self) -> Timestamp {
-        Timestamp(self.entry.started_at_ms)
+        self.entry.started_at
     }
 
     /// The fraction of its full capacity that it has reached since its last start.
@@ -247,7 +248,7 @@
         let utilization = (in_flight / self.service.cores as f64).min(1.0);
         LoadReport {
             in_flight: Some(in_flight),
-            utilization: (self.entry.hardware == 0).then_some(utilization),
+            utilization: (self.entry.hardware == HardwareId(0)).then_some(utilization),
             requests_per_second: None,
         }
     }
@@ -255,7 +256,7 @@
     /// Starts the endpoint's process again under the same name.
     pub fn restart(&mut self, now: Timestamp) {
         self.entry.state = EndpointState::Ready;
-        self.entry.started_at_ms = now.as_f64();
+        self.entry.started_at = now;
         self.fault = Fault::None;
         self.slowdown = 1.0;
         self.completions.clear();
--- a/simulation/src/fleet/attempts.rs
+++ b/simulation/src/fleet/attempts.rs
@@ -141,10 +141,10 @@
             attempt: id.number,
             endpoint: endpoint.entry.name.clone(),
             result,
-            latency_ms: (self.now - attempt.sent_at).as_f64(),
+            latency: self.now - attempt.sent_at,
             request_ended,
             metered_use: details.has_report.then_some(details.use_factor),
-            actual_cost: actual_cost.map(Tokens::as_f64),
+            actual_cost,
             load_report: details.has_report.then(|| endpoint.load_report(self.now)),
         };
         if gateway_incarnation == self.gateway(gateway).incarnation {
--- a/simulation/src/fleet/client_requests.rs
+++ b/simulation/src/fleet/client_requests.rs
@@ -48,10 +48,10 @@
             tenant: request.tenant.clone(),
             class: request.class,
             plan: request.plan,
-            cost: request.cost.as_f64(),
+            cost: request.cost,
             shard_start: request.shard.start,
             shard_size: request.shard.size,
-            client_deadline_ms: patience.deadline.as_f64(),
+            client_deadline: patience.deadline,
             is_retry: request.retries > 0,
         });
         let gateway = request.gateway;
--- a/simulation/src/fleet/mod.rs
+++ b/simulation/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 use events::FleetEvent;
 use marlshelf::{
     Action, DecisionEngine, Event, GatewayId, Milliseconds, RequestId, Settings, TimerToken,
-    Timestamp,
+    Timestamp, ZoneId,
 };
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -112,7 +112,7 @@
     fn start_gateway(&self, id: GatewayId, incarnation: u32) -> Gateway {
         let settings = Settings {
             gateway: id,
-            zone: id.0 % self.scenario.gateway_zones,
+            zone: ZoneId(id.0 % self.scenario.gateway_zones),
             ..self.scenario.settings.clone()
         };
         let seed = self.randomness.gateway_seed(id.0, incarnation);
@@ -176,7 +176,7 @@
     /// Passes an event to a gateway and carries out the actions that the gateway returns.
     fn notify(&mut self, id: GatewayId, event: Event) {
         let gateway = &mut self.gateways[id.0 as usize];
-        for action in gateway.engine.handle_event(self.now.as_f64(), event) {
+        for action in gateway.engine.handle_event(self.now, event) {
             self.observer.on_action(self.now, id, &action);
             self.execute(id, action);
         }
@@ -187,17 +187,15 @@
             Action::Forward {
                 request,
                 endpoint,
-                deadline_ms,
-            } => self.start_attempt(request, &endpoint, Timestamp(deadline_ms)),
+                deadline,
+            } => self.start_attempt(request, &endpoint, deadline),
             Action::Reject {
                 request,
-                retry_after_ms,
-            } => self.answer_client(request, Milliseconds(retry_after_ms)),
+                retry_after,
+            } => self.answer_client(request, retry_after),
             Action::Fail { request } => self.answer_client(request, Milliseconds::ZERO),
             Action::SendGossip { to, text } => self.send_gossip(gateway, to, text),
-            Action::SetTimer { token, delay_ms } => {
-                self.set_timer(gateway, token, Milliseconds(delay_ms));
-            }
+            Action::SetTimer { token, delay } => self.set_timer(gateway, token, delay),
         }
     }
 
--- a/simulation/src/ledgers/quota.rs
+++ b/simulation/src/ledgers/quota.rs
@@ -2,7 +2,7 @@
 
 use crate::{ClientRequest, Observer};
 use marlshelf::{
-    Action, AttemptResult, GatewayId, Milliseconds, Plan, RequestId, Timestamp, Tokens,
+    Action, AttemptResult, GatewayId, Milliseconds, Plan, PlanIndex, RequestId, Timestamp, Tokens,
     TokensPerSecond,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,8 +32,8 @@
     pub fn new(plan: &Plan) -> Self {
         QuotaLedger {
             updated_at: Timestamp::ZERO,
-            tokens: Tokens(plan.burst),
-            hard_limit_tokens: Tokens(plan.hard_limit_burst),
+            tokens: plan.burst,
+            hard_limit_tokens: plan.hard_limit_burst,
             lowest_hard_limit_tokens: Tokens::ZERO,
             in_flight: 0,
         }
@@ -90,13 +90,13 @@
     /// Ends an attempt and charges these tokens in addition to its estimated cost.
     pub fn finish(&mut self, plan: &Plan, now: Timestamp, settlement: Tokens) {
         self.refill(plan, now);
-        self.tokens = (self.tokens - settlement).min(Tokens(plan.burst));
+        self.tokens = (self.tokens - settlement).min(plan.burst);
         self.in_flight -= 1;
     }
 }
 
-fn refilled(tokens: Tokens, rate: f64, burst: f64, elapsed: Milliseconds) -> Tokens {
-    (tokens + TokensPerSecond(rate).over(elapsed)).min(Tokens(burst))
+fn refilled(tokens: Tokens, rate: TokensPerSecond, burst: Tokens, elapsed: Milliseconds) -> Tokens {
+    (tokens + rate.over(elapsed)).min(burst)
 }
 
 /// What the end of an attempt charges in addition to the estimated cost, if that was charged.
@@ -123,8 +123,8 @@
 impl<'a> QuotaAudit<'a> {
     /// The ledgers of tenants with these plans, at time 0.
     #[must_use]
-    pub fn new(plans: &'a [Plan], plans_of_tenants: impl IntoIterator<Item = usize>) -> Self {
-        let ledger = |plan: usize| QuotaLedger::new(&plans[plan]);
+    pub fn new(plans: &'a [Plan], plans_of_tenants: impl IntoIterator<Item = PlanIndex>) -> Self {
+        let ledger = |plan: PlanIndex| QuotaLedger::new(&plans[plan.0]);
         QuotaAudit {
             plans,
             ledgers: plans_of_tenants.into_iter().map(ledger).collect(),
@@ -158,7 +158,7 @@
     }
 
     fn on_attempt_start(&mut self, now: Timestamp, id: RequestId, request: &ClientRequest) {
-        let plan = &self.plans[request.plan];
+        let plan = &self.plans[request.plan.0];
         let ledger = &mut self.ledgers[request.tenant_index];
         let within_quota = ledger.forward(plan, now, request.cost, &mut self.value);
         self.in_flight.insert(id, within_quota);
@@ -174,6 +174,6 @@
         let within_quota = self.in_flight.remove(&id);
         let within_quota = within_quota.expect("an attempt that ends has started");
         let settlement = settlement(request, within_quota);
-        self.ledgers[request.tenant_index].finish(&self.plans[request.plan], now, settlement);
+        self.ledgers[request.tenant_index].finish(&self.plans[request.plan.0], now, settlement);
     }
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -16,7 +16,9 @@
 //! nothing here reads a clock, and all random numbers come from the seeds of the run.
 //!
 //! ```
-//! use marlshelf::{GatewayId, Milliseconds, Plan, RequestClass, Settings, Timestamp};
+//! use marlshelf::{
+//!     GatewayId, Milliseconds, Plan, RequestClass, Settings, Timestamp, Tokens, TokensPerSecond,
+//! };
 //! use marlshelf_simulation::{
 //!     ClientRequest, Fleet, FleetScenario, GatewaySeeds, Randomness, ScheduledClients, ScheduledRequest, Shard,
 //! };
@@ -34,11 +36,16 @@
 //!     settings: Settings {
 //!         gateway_count: 2,
 //!         classes: vec![RequestClass {
-//!             latency_objective_ms: 500.0,
+//!             latency_objective: Milliseconds(500.0),
 //!             priority_weight: 1.0,
 //!             ..RequestClass::default()
 //!         }],
-//!         plans: vec![Plan { refill_rate: 10.0, burst: 20.0, weight: 1.0, ..Plan::default() }],
+//!         plans: vec![Plan {
+//!             refill_rate: TokensPerSecond(10.0),
+//!             burst: Tokens(20.0),
+//!             weight: 1.0,
+//!             ..Plan::default()
+//!         }],
 //!         ..Settings::default()
 //!     },
 //!     ..FleetScenario::default()
--- a/simulation/tests/parts.rs
+++ b/simulation/tests/parts.rs
@@ -1,6 +1,8 @@
 //! The parts of the simulation, each alone.
 
-use marlshelf::{AttemptResult, GatewayId, Milliseconds, Plan, Settings, Timestamp, Tokens};
+use marlshelf::{
+    AttemptResult, GatewayId, Milliseconds, Plan, Settings, Timestamp, Tokens, TokensPerSecond,
+};
 use marlshelf_simulation::ledgers::{ForwardedValue, OverloadRule, QuotaLedger};
 use marlshelf_simulation::{
     Datagram, EndpointPool, EventQueue, Fault, GatewaySeeds, GossipNetwork, RandomStream,
@@ -149,13 +151,13 @@
 #[test]
 fn quota_ledger_counts_what_exceeds_quota_concurrency_and_hard_limit() {
     let plan = Plan {
-        refill_rate: 1.0,
-        burst: 10.0,
+        refill_rate: TokensPerSecond(1.0),
+        burst: Tokens(10.0),
         weight: 2.0,
         over_quota_penalty: 0.5,
         max_concurrency: 2,
-        hard_limit_rate: 1.0,
-        hard_limit_burst: 14.0,
+        hard_limit_rate: TokensPerSecond(1.0),
+        hard_limit_burst: Tokens(14.0),
         ..Plan::default()
     };
     let mut ledger = QuotaLedger::new(&plan);
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -1,24 +1,37 @@
 //! Attempts of a forwarded request, from the first to the end of the request.
 
 use super::Decisions;
-use super::endpoint_selection::{Selection, choose_endpoint};
-use super::retries::{client_may_repeat, is_retryable, may_have_executed, retry_scope};
+use super::load_balancing::RetryAttempt;
+use super::load_shedding::RequestOutcome;
+use super::retries::{FailedAttempt, may_have_executed};
 use crate::events::{AttemptOutcome, AttemptResult, EndpointName, RequestId};
 use crate::records::{Authorization, InFlightRequest, PendingRequest};
+use crate::units::{Milliseconds, Timestamp};
 
 impl Decisions {
     /// Begins an attempt of a request in flight.
     pub(super) fn forward(&mut self, id: RequestId, endpoint: &EndpointName) {
-        let Some(request) = self.requests.in_flight_mut(id) else { return };
+        let Some(request) = self.requests.in_flight_mut(id) else {
+            return;
+        };
         request.attempts += 1;
         let admitted = &request.admitted;
-        let class = &self.settings.classes[admitted.request.class];
+        let class = self.settings.class(admitted.request.class);
         // A late answer that earns nothing is not waited for, and its absence is not taken for load.
         let late_answer_earns = class.late_answer_weight > 0.0;
-        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
-        let useful_until_ms = if late_answer_earns { f64::INFINITY } else { objective_at_ms };
-        let deadline_ms = admitted.request.client_deadline_ms.min(useful_until_ms);
-        self.endpoints.attempt_started(id, admitted.request.class, endpoint, self.now_ms);
+        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective.0;
+        let useful_until_ms = if late_answer_earns {
+            f64::INFINITY
+        } else {
+            objective_at_ms
+        };
+        let deadline_ms = admitted.request.client_deadline.0.min(useful_until_ms);
+        self.load_balancer.attempt_started(
+            id,
+            admitted.request.class,
+            endpoint,
+            Timestamp(self.now_ms),
+        );
         self.actions.forward(id, endpoint.clone(), deadline_ms);
     }
 
@@ -26,27 +39,34 @@
         if let Some(pending) = self.requests.take_by_request(id) {
             return self.abandon_wait(&pending);
         }
-        let Some(request) = self.requests.in_flight_mut(id) else { return };
+        let Some(request) = self.requests.in_flight_mut(id) else {
+            return;
+        };
         request.client_disconnected = true;
         let tier = request.admitted.tier;
         if !self.is_in_time(id) {
-            self.load_shedder.record(tier, false, self.now_ms);
+            self.load_shedder
+                .record(tier, RequestOutcome::Unserved, Timestamp(self.now_ms));
         }
     }
 
     /// Whether the latency objective of a request is not over yet.
     fn is_in_time(&self, id: RequestId) -> bool {
-        self.requests.in_flight(id).is_some_and(|InFlightRequest { admitted, .. }| {
-            let class = &self.settings.classes[admitted.request.class];
-            admitted.age_ms(self.now_ms) <= class.latency_objective_ms
-        })
+        self.requests
+            .in_flight(id)
+            .is_some_and(|InFlightRequest { admitted, .. }| {
+                let class = self.settings.class(admitted.request.class);
+                admitted.age_ms(self.now_ms) <= class.latency_objective.0
+            })
     }
 
     pub(crate) fn on_attempt_finished(&mut self, outcome: &AttemptOutcome) {
         let id = outcome.request;
         self.learn_from(outcome);
         self.settle_actual_cost(outcome);
-        let Some(request) = self.requests.in_flight(id) else { return };
+        let Some(request) = self.requests.in_flight(id) else {
+            return;
+        };
         let tier = request.admitted.tier;
         let in_time = self.is_in_time(id);
         if request.client_disconnected {
@@ -54,30 +74,47 @@
         } else if outcome.request_ended {
             self.finish(id);
             let accepted = outcome.result == AttemptResult::Success && in_time;
-            self.load_shedder.record(tier, accepted, self.now_ms);
+            self.load_shedder.record(
+                tier,
+                RequestOutcome::accepted_if(accepted),
+                Timestamp(self.now_ms),
+            );
         } else if let Some(endpoint) = self.retry_endpoint(outcome) {
-            self.retry_budget.spend(1.0);
+            self.retry_policy.retry_started();
             self.forward(id, &endpoint);
         } else if let Some(request) = self.finish(id) {
             // An error is an answer: the endpoint had capacity for the request.
             let accepted = outcome.result == AttemptResult::Error && in_time;
-            self.load_shedder.record(tier, accepted, self.now_ms);
+            self.load_shedder.record(
+                tier,
+                RequestOutcome::accepted_if(accepted),
+                Timestamp(self.now_ms),
+            );
             self.answer_failed_request(&request);
         }
     }
 
     /// Takes in what an attempt tells of its endpoint, and whether the request may have been executed there.
     fn learn_from(&mut self, outcome: &AttemptOutcome) {
-        let location = self.endpoints.attempt_finished(outcome, self.now_ms);
-        let Some(request) = self.requests.in_flight_mut(outcome.request) else { return };
-        if let Some(execution) = location.filter(|_| may_have_executed(outcome.result)) {
+        let execution = self
+            .load_balancer
+            .attempt_finished(outcome, Timestamp(self.now_ms));
+        let Some(request) = self.requests.in_flight_mut(outcome.request) else {
+            return;
+        };
+        if let Some(execution) = execution.filter(|_| may_have_executed(outcome.result)) {
             request.first_execution.get_or_insert(execution);
         }
     }
 
     fn settle_actual_cost(&mut self, outcome: &AttemptOutcome) {
-        let Some(InFlightRequest { admitted, .. }) = self.requests.in_flight(outcome.request) else { return };
-        let difference = outcome.actual_cost.map_or(0.0, |actual| actual - admitted.request.cost);
+        let Some(InFlightRequest { admitted, .. }) = self.requests.in_flight(outcome.request)
+        else {
+            return;
+        };
+        let difference = outcome
+            .actual_cost
+            .map_or(0.0, |actual| actual.0 - admitted.request.cost.0);
         self.settle_usage(admitted.account, difference, None);
     }
 
@@ -85,28 +122,32 @@
     fn retry_endpoint(&mut self, outcome: &AttemptOutcome) -> Option<EndpointName> {
         let request = self.requests.in_flight(outcome.request)?;
         let admitted = &request.admitted;
-        let class = &self.settings.classes[admitted.request.class];
-        let scope = retry_scope(class, request.first_execution, self.now_ms)?;
-        let max_attempts = self.settings.max_attempts;
-        let exhausted = max_attempts > 0 && request.attempts >= max_attempts;
-        if exhausted || self.retry_budget.saved() < 1.0 || !is_retryable(outcome.result) {
-            return None;
-        }
-        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective_ms;
-        let selection = Selection {
+        let class = self.settings.class(admitted.request.class);
+        let failed = FailedAttempt {
+            class: admitted.request.class,
+            attempts: request.attempts,
+            result: outcome.result,
+            first_execution: request.first_execution,
+        };
+        let now = Timestamp(self.now_ms);
+        let scope = self.retry_policy.retry_scope(&failed, now)?;
+        let objective_at_ms = admitted.arrived_at_ms + class.latency_objective.0;
+        let useful_until_ms = objective_at_ms.min(admitted.request.client_deadline.0);
+        let retry = RetryAttempt {
             class: admitted.request.class,
-            max_latency_ms: objective_at_ms.min(admitted.request.client_deadline_ms) - self.now_ms,
+            remaining: Milliseconds(useful_until_ms - self.now_ms),
             scope,
-            avoid: Some(&outcome.endpoint),
+            previous_endpoint: &outcome.endpoint,
         };
-        choose_endpoint(&self.endpoints, &self.settings, &selection, self.now_ms, &mut self.rng)
+        self.load_balancer
+            .choose_for_retry(&retry, now, &mut self.rng)
     }
 
     /// The final answer to a request whose attempts have failed.
     fn answer_failed_request(&mut self, request: &InFlightRequest) {
         let admitted = &request.admitted.request;
-        let class = &self.settings.classes[admitted.class];
-        if request.first_execution.is_none() || client_may_repeat(class) {
+        if request.first_execution.is_none() || self.retry_policy.client_may_repeat(admitted.class)
+        {
             self.reject(admitted);
         } else {
             self.actions.fail(admitted.id);
@@ -116,7 +157,11 @@
     /// Forgets a request whose last attempt has ended, and hands on or releases its permit.
     fn finish(&mut self, id: RequestId) -> Option<InFlightRequest> {
         let request = self.requests.end(id)?;
-        let PendingRequest { account, authorization, .. } = request.admitted;
+        let PendingRequest {
+            account,
+            authorization,
+            ..
+        } = request.admitted;
         if let Some(tenant) = self.tenants.get_mut(&account.tenant) {
             tenant.client.permits.release();
         }
@@ -124,7 +169,9 @@
             if let Some(next) = self.requests.take_next_for_permit(account.tenant) {
                 self.admit(next);
             }
-        } else if authorization.permit().is_some() && self.settings.plans[account.plan].max_concurrency > 0 {
+        } else if authorization.permit().is_some()
+            && self.settings.plan(account.plan).max_concurrency > 0
+        {
             self.hand_on_permit(&request.admitted);
         }
         Some(request)
@@ -137,8 +184,12 @@
         let Some(next) = self.requests.take_next(finished.account.tenant) else {
             return self.settle_usage(finished.account, 0.0, permit);
         };
-        self.settle_usage(next.account, next.request.cost, None);
-        let authorization = permit.map_or(Authorization::Unconfirmed, Authorization::InheritedPermit);
-        self.admit(PendingRequest { authorization, ..next });
+        self.settle_usage(next.account, next.request.cost.0, None);
+        let authorization =
+            permit.map_or(Authorization::Unconfirmed, Authorization::InheritedPermit);
+        self.admit(PendingRequest {
+            authorization,
+            ..next
+        });
     }
 }
--- a/tests/decisions/fleet_quotas.rs
+++ b/tests/decisions/fleet_quotas.rs
@@ -4,7 +4,7 @@
     GATEWAYS, HARD_LIMIT_PLAN, LATENCY, quota_fleet_settings, run_quota_fleet,
 };
 use crate::support::workload::{Workload, quiet_day, request_of_tenant};
-use marlshelf::{GatewayId, Milliseconds, Plan, Settings, Timestamp, Tokens};
+use marlshelf::{GatewayId, Milliseconds, Plan, PlanIndex, Settings, Timestamp, Tokens};
 use marlshelf_simulation::ledgers::{ForwardedValue, QuotaLedger, settlement};
 use marlshelf_simulation::{ClientRequest, ScheduledRequest, Shard};
 
@@ -34,7 +34,7 @@
 
     fn new(settings: &'a Settings, workload: &'a Workload) -> Self {
         let plans_of_tenants = workload.plans_of_tenants.iter();
-        let plans: Vec<&Plan> = plans_of_tenants.map(|p| &settings.plans[*p]).collect();
+        let plans: Vec<&Plan> = plans_of_tenants.map(|p| settings.plan(*p)).collect();
         let ledgers: Vec<QuotaLedger> = plans.iter().map(|plan| QuotaLedger::new(plan)).collect();
         DelayedView {
             workload,
@@ -132,7 +132,7 @@
         start: GatewayId(0),
         size: GATEWAYS,
     };
-    let template = request_of_tenant(0, HARD_LIMIT_PLAN, shard);
+    let template = request_of_tenant(0, PlanIndex(HARD_LIMIT_PLAN), shard);
     let mut requests = Vec::new();
     let mut add = |at: Timestamp, gateway: u32| {
         let request = ClientRequest {
@@ -151,7 +151,7 @@
         (0..GATEWAYS).for_each(|gateway| add(at, gateway));
     }
     Workload {
-        plans_of_tenants: vec![HARD_LIMIT_PLAN],
+        plans_of_tenants: vec![PlanIndex(HARD_LIMIT_PLAN)],
         requests,
     }
 }
@@ -161,7 +161,7 @@
     let settings = quota_fleet_settings();
     let workload = turns_of_all_gateways();
     let fleet = run_quota_fleet(1, &settings, &workload);
-    let slack = Tokens(settings.plans[HARD_LIMIT_PLAN].hard_limit_slack);
+    let slack = settings.plans[HARD_LIMIT_PLAN].hard_limit_slack;
     let excess = fleet.ledgers()[0].hard_limit_excess();
     assert!(
         excess <= slack,
--- a/tests/decisions/support/quota_fleet.rs
+++ b/tests/decisions/support/quota_fleet.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet of gateways that share quotas over a network with late and lost gossip.
 
 use super::workload::Workload;
-use marlshelf::{Milliseconds, Plan, RequestClass, Settings};
+use marlshelf::{Milliseconds, Plan, RequestClass, Settings, Tokens, TokensPerSecond};
 use marlshelf_simulation::ledgers::QuotaAudit;
 use marlshelf_simulation::{
     EndpointNames, EndpointPool, Fleet, FleetScenario, GatewaySeeds, GossipNetwork, RandomStream,
@@ -28,8 +28,8 @@
 /// A fleet with plans of each kind of limit.
 pub fn quota_fleet_settings() -> Settings {
     let plan = |refill_rate, burst, weight, over_quota_penalty| Plan {
-        refill_rate,
-        burst,
+        refill_rate: TokensPerSecond(refill_rate),
+        burst: Tokens(burst),
         weight,
         over_quota_penalty,
         ..Plan::default()
@@ -38,7 +38,7 @@
         gateway_count: GATEWAYS,
         classes: vec![RequestClass {
             priority_weight: 1.0,
-            latency_objective_ms: 2000.0,
+            latency_objective: Milliseconds(2000.0),
             late_answer_weight: 0.2,
             ..RequestClass::default()
         }],
@@ -50,18 +50,18 @@
                 ..plan(5.0, 20.0, 1.3, 1.0)
             },
             Plan {
-                hard_limit_rate: 28.0,
-                hard_limit_burst: 60.0,
-                hard_limit_slack: 6.0,
+                hard_limit_rate: TokensPerSecond(28.0),
+                hard_limit_burst: Tokens(60.0),
+                hard_limit_slack: Tokens(6.0),
                 ..plan(14.0, 30.0, 1.8, 0.0)
             },
         ],
         max_attempts: 3,
         gossip_enabled: true,
-        max_request_cost: 6.0,
+        max_request_cost: Tokens(6.0),
         gossip_intake_per_second: 60.0,
         initial_warmth: 0.2,
-        warmup_ms: 10_000.0,
+        warmup_duration: Milliseconds(10_000.0),
         ..Settings::default()
     }
 }
--- a/tests/decisions/support/slow_start_fleet.rs
+++ b/tests/decisions/support/slow_start_fleet.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet of gateways, each with a thin part of the traffic, while endpoints start.
 
 use super::settings::slow_start_settings;
-use marlshelf::{AttemptResult, GatewayId, Milliseconds, RequestId, Timestamp};
+use marlshelf::{AttemptResult, ClassIndex, GatewayId, Milliseconds, RequestId, Timestamp};
 use marlshelf_simulation::ledgers::OverloadRule;
 use marlshelf_simulation::{
     ArrivalSource, Arrivals, ClientRequest, Clients, EndpointIndex, EndpointNames, EndpointPool,
@@ -164,7 +164,7 @@
         // The shard is one gateway, which owns the tenant's quota, so that quotas have no part in this.
         let request = ClientRequest {
             tenant: "acme".into(),
-            class: usize::from(random.random_range(0..3) == 0),
+            class: ClassIndex(usize::from(random.random_range(0..3) == 0)),
             work: random.random_range(0.5..1.5),
             ..ClientRequest::to_gateway(GatewayId(source.0 as u32))
         };
@@ -181,7 +181,7 @@
         _random: &mut Pcg64Mcg,
     ) -> Patience {
         Patience {
-            deadline: now + CLIENT_TIMEOUTS[request.class],
+            deadline: now + CLIENT_TIMEOUTS[request.class.0],
             disconnect_at: None,
         }
     }
--- a/tests/decisions/support/workload.rs
+++ b/tests/decisions/support/workload.rs
@@ -1,7 +1,7 @@
 //! Requests of a fleet's tenants over time, generated from a seed.
 
 use super::quota_fleet::GATEWAYS;
-use marlshelf::{GatewayId, Milliseconds, Settings, Timestamp, Tokens};
+use marlshelf::{GatewayId, Milliseconds, PlanIndex, Settings, Timestamp, Tokens};
 use marlshelf_simulation::{ClientRequest, ScheduledRequest, Shard};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -11,7 +11,7 @@
 /// The number of tenants of a quiet day.
 const TENANTS: usize = 48;
 /// The mean cost of a request of a quiet day.
-const MEAN_COST: f64 = 3.0;
+const MEAN_COST: Tokens = Tokens(3.0);
 /// The largest cost that a request states.
 const MAX_COST: f64 = 6.0;
 /// Half of a tenant's requests arrive at one gateway, which changes after this time.
@@ -20,13 +20,13 @@
 /// All requests of a simulation.
 pub struct Workload {
     /// The plan of each tenant.
-    pub plans_of_tenants: Vec<usize>,
+    pub plans_of_tenants: Vec<PlanIndex>,
     /// The requests in the order of arrival.
     pub requests: Vec<ScheduledRequest>,
 }
 
 /// A tenant's request of the least cost and work. Its cost and gateway are yet to be chosen.
-pub fn request_of_tenant(tenant_index: usize, plan: usize, shard: Shard) -> ClientRequest {
+pub fn request_of_tenant(tenant_index: usize, plan: PlanIndex, shard: Shard) -> ClientRequest {
     ClientRequest {
         tenant: format!("c{tenant_index}").into(),
         tenant_index,
@@ -40,7 +40,7 @@
 /// A quiet day: most tenants use a part of their quota, some nearly all, one in eight three times as much.
 pub fn quiet_day(seed: u64, settings: &Settings) -> Workload {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let plan_of = |tenant: usize| tenant % settings.plans.len();
+    let plan_of = |tenant: usize| PlanIndex(tenant % settings.plans.len());
     let mut requests = Vec::new();
     for tenant in 0..TENANTS {
         let plan = plan_of(tenant);
@@ -51,8 +51,8 @@
             1 => 0.95,
             _ => random.random_range(0.25..0.5),
         };
-        let tokens_per_second = utilization * settings.plans[plan].refill_rate;
-        let mean_interval = Milliseconds(1000.0 * MEAN_COST / tokens_per_second);
+        let tokens_per_second = settings.plan(plan).refill_rate * utilization;
+        let mean_interval = MEAN_COST.time_at(tokens_per_second);
         let request = request_of_tenant(tenant, plan, Shard { start, size });
         add_requests(&mut requests, &mut random, &request, mean_interval);
     }
--- a/tests/statistics/main.rs
+++ b/tests/statistics/main.rs
@@ -2,7 +2,6 @@
 
 mod assertions;
 mod averages;
-mod budgets;
-mod ratio_bands;
 mod ring_arc;
 mod sliding_window;
+mod token_bucket;
