--- a/simulation/src/clients/mod.rs
+++ b/simulation/src/clients/mod.rs
@@ -66,19 +66,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalSource(pub usize);
 
-/// What happens when the time of an arrival has come.
+/// An arrival whose time has come.
 #[derive(Clone, Debug)]
-pub struct Arrivals {
-    /// The request that arrives now. There is none if its tenant is idle.
-    pub now: Option<ClientRequest>,
+pub struct Arrival {
+    /// The request. There is none if its tenant is idle.
+    pub request: Option<ClientRequest>,
     /// The time of the next arrival from the same source.
-    pub next: Option<Timestamp>,
+    pub next_at: Option<Timestamp>,
 }
 
 /// How long a client waits for an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// The deadline that the client states.
+pub struct ClientDeadline {
+    /// The deadline that the request states.
     pub deadline: Timestamp,
     /// When it disconnects if it has no answer by then. Without it, it stays connected.
     pub disconnect_at: Option<Timestamp>,
@@ -99,15 +99,15 @@
     fn first_arrivals(&mut self, random: &mut Pcg64Mcg) -> Vec<Timestamp>;
 
     /// The time of an arrival from this source has come.
-    fn arrive(&mut self, source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrivals;
+    fn arrive(&mut self, source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrival;
 
     /// How long the client of a request that is sent now waits.
-    fn patience(
+    fn client_deadline(
         &mut self,
         request: &ClientRequest,
         now: Timestamp,
         random: &mut Pcg64Mcg,
-    ) -> Patience;
+    ) -> ClientDeadline;
 
     /// The client's retry after a final answer other than a success, if the client retries at all.
     #[allow(unused_variables)]
--- a/simulation/src/clients/scheduled.rs
+++ b/simulation/src/clients/scheduled.rs
@@ -1,6 +1,6 @@
 //! Clients that send given requests at given times.
 
-use super::{ArrivalSource, Arrivals, ClientRequest, Clients, Patience};
+use super::{Arrival, ArrivalSource, ClientDeadline, ClientRequest, Clients};
 use marlshelf::{Milliseconds, Timestamp};
 use rand_pcg::Pcg64Mcg;
 
@@ -39,20 +39,20 @@
         source: ArrivalSource,
         _now: Timestamp,
         _random: &mut Pcg64Mcg,
-    ) -> Arrivals {
-        Arrivals {
-            now: Some(self.requests[source.0].request.clone()),
-            next: None,
+    ) -> Arrival {
+        Arrival {
+            request: Some(self.requests[source.0].request.clone()),
+            next_at: None,
         }
     }
 
-    fn patience(
+    fn client_deadline(
         &mut self,
         _request: &ClientRequest,
         now: Timestamp,
         _random: &mut Pcg64Mcg,
-    ) -> Patience {
-        Patience {
+    ) -> ClientDeadline {
+        ClientDeadline {
             deadline: now + self.timeout,
             disconnect_at: None,
         }
--- a/simulation/src/clients/tenants.rs
+++ b/simulation/src/clients/tenants.rs
@@ -1,7 +1,7 @@
 //! Clients of many tenants that share one Poisson process of arrivals, with surges, idle periods, early disconnects and
 //! retries.
 
-use super::{ArrivalSource, Arrivals, ClientRequest, ClientRetry, Clients, Patience, Shard};
+use super::{Arrival, ArrivalSource, ClientDeadline, ClientRequest, ClientRetry, Clients, Shard};
 use marlshelf::{
     ClassIndex, GatewayId, Milliseconds, PlanIndex, Settings, TenantName, Timestamp, Tokens,
 };
@@ -23,7 +23,7 @@
 const MAX_RETRY_AFTER: Milliseconds = Milliseconds(5000.0);
 /// The range, in milliseconds, of what a client adds to the retry delay.
 const RETRY_JITTER_MS: Range<f64> = 30.0..300.0;
-/// The latency objective on which a client's patience depends if its class does not exist.
+/// The latency objective on which a client's deadline depends if its class does not exist.
 const DEFAULT_LATENCY_OBJECTIVE: Milliseconds = Milliseconds(500.0);
 /// The range of a client's timeout, as a multiple of the latency objective.
 const TIMEOUT_OBJECTIVES: Range<f64> = 0.8..2.5;
@@ -192,26 +192,21 @@
         vec![FIRST_ARRIVAL]
     }
 
-    fn arrive(
-        &mut self,
-        _source: ArrivalSource,
-        now: Timestamp,
-        random: &mut Pcg64Mcg,
-    ) -> Arrivals {
-        let next = now + self.arrival_interval(now, random);
-        Arrivals {
-            now: self.new_request(now, random),
-            next: Some(next),
+    fn arrive(&mut self, _source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrival {
+        let next_at = now + self.arrival_interval(now, random);
+        Arrival {
+            request: self.new_request(now, random),
+            next_at: Some(next_at),
         }
     }
 
     /// A client disconnects shortly after its deadline, or early.
-    fn patience(
+    fn client_deadline(
         &mut self,
         request: &ClientRequest,
         now: Timestamp,
         random: &mut Pcg64Mcg,
-    ) -> Patience {
+    ) -> ClientDeadline {
         let objective = self.latency_objectives.get(request.class.0);
         let objective = objective.copied().unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
         let deadline = now + objective * random.random_range(TIMEOUT_OBJECTIVES);
@@ -222,7 +217,7 @@
         } else {
             deadline + DISCONNECT_DELAY
         };
-        Patience {
+        ClientDeadline {
             deadline,
             disconnect_at: Some(disconnect_at),
         }
--- a/simulation/src/endpoint/mod.rs
+++ b/simulation/src/endpoint/mod.rs
@@ -51,7 +51,7 @@
 
     /// The fraction of its full capacity that an endpoint has reached. A start at time 0 was long ago.
     #[must_use]
-    pub fn warmth(&self, started_at: Timestamp, now: Timestamp) -> f64 {
+    pub fn warmup_fraction(&self, started_at: Timestamp, now: Timestamp) -> f64 {
         if started_at <= Timestamp::ZERO || self.warmup <= Milliseconds::ZERO {
             return 1.0;
         }
@@ -165,8 +165,10 @@
 
     /// The fraction of its full capacity that it has reached since its last start.
     #[must_use]
-    pub fn warmth(&self, now: Timestamp) -> f64 {
-        self.service.slow_start.warmth(self.started_at(), now)
+    pub fn warmup_fraction(&self, now: Timestamp) -> f64 {
+        self.service
+            .slow_start
+            .warmup_fraction(self.started_at(), now)
     }
 
     /// All work that reached its current process, in the order of arrival. It includes rejected requests.
@@ -187,7 +189,7 @@
     /// # Panics
     /// When the endpoint has no cores.
     pub fn serve(&mut self, now: Timestamp, work: f64, random: &mut impl Rng) -> AttemptEnd {
-        if let Some(end) = self.fail(now, random) {
+        if let Some(end) = self.failure(now, random) {
             return end;
         }
         self.received.push(ReceivedWork { at: now, work });
@@ -195,7 +197,7 @@
             let at = now + self.service.delays.rejection;
             return AttemptEnd::at(at, AttemptResult::Overloaded);
         }
-        let capacity = self.warmth(now).max(MIN_CAPACITY);
+        let capacity = self.warmup_fraction(now).max(MIN_CAPACITY);
         let service_time = self.service.service_time * work * self.slowdown / capacity;
         let variation = self.service.service_time_variation.clone();
         let variation = variation.map_or(1.0, |range| random.random_range(range));
@@ -210,7 +212,7 @@
     }
 
     /// The end of an attempt that fails because of a fault or the removal of the endpoint.
-    fn fail(&self, now: Timestamp, random: &mut impl Rng) -> Option<AttemptEnd> {
+    fn failure(&self, now: Timestamp, random: &mut impl Rng) -> Option<AttemptEnd> {
         let fault_draw = random.random::<f64>();
         let delays = &self.service.delays;
         let unreachable =
--- a/simulation/src/fleet/client_requests.rs
+++ b/simulation/src/fleet/client_requests.rs
@@ -24,11 +24,11 @@
     /// Receives the request that arrives from a source, and schedules the arrival of the next one.
     pub(super) fn receive_arrival(&mut self, source: ArrivalSource) {
         let random = self.randomness.stream(RandomStream::Clients);
-        let arrivals = self.clients.arrive(source, self.now, random);
-        if let Some(next) = arrivals.next {
-            self.schedule(next, FleetEvent::Arrival(source));
+        let arrival = self.clients.arrive(source, self.now, random);
+        if let Some(next_at) = arrival.next_at {
+            self.schedule(next_at, FleetEvent::Arrival(source));
         }
-        if let Some(request) = arrivals.now {
+        if let Some(request) = arrival.request {
             self.receive_request(request);
         }
     }
@@ -38,8 +38,8 @@
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
         let random = self.randomness.stream(RandomStream::Clients);
-        let patience = self.clients.patience(&request, self.now, random);
-        if let Some(disconnect_at) = patience.disconnect_at {
+        let wait = self.clients.client_deadline(&request, self.now, random);
+        if let Some(disconnect_at) = wait.disconnect_at {
             self.schedule(disconnect_at, FleetEvent::ClientDisconnect(id));
         }
         self.observer.on_request(self.now, id, &request);
@@ -51,7 +51,7 @@
             cost: request.cost,
             shard_start: request.shard.start,
             shard_size: request.shard.size,
-            client_deadline: patience.deadline,
+            client_deadline: wait.deadline,
             is_retry: request.retries > 0,
         });
         let gateway = request.gateway;
--- a/simulation/src/ledgers/overload.rs
+++ b/simulation/src/ledgers/overload.rs
@@ -50,8 +50,8 @@
         // Capacity rises linearly, so that its mean over the window is that of the middle.
         let window_start = (window_end - self.window).max(started_at);
         let middle = Timestamp(f64::midpoint(window_start.as_f64(), window_end.as_f64()));
-        let warmth = self.slow_start.warmth(started_at, middle);
-        let mean = self.multiple * self.capacity * warmth * self.window.as_f64() / 1000.0;
+        let warmup_fraction = self.slow_start.warmup_fraction(started_at, middle);
+        let mean = self.multiple * self.capacity * warmup_fraction * self.window.as_f64() / 1000.0;
         mean + 2.0 * mean.sqrt() + 2.0
     }
 }
--- a/simulation/src/ledgers/quota.rs
+++ b/simulation/src/ledgers/quota.rs
@@ -15,6 +15,7 @@
     hard_limit_tokens: Tokens,
     lowest_hard_limit_tokens: Tokens,
     in_flight: u32,
+    most_in_flight: u32,
 }
 
 /// The value of all that a fleet forwarded.
@@ -36,6 +37,7 @@
             hard_limit_tokens: plan.hard_limit_burst,
             lowest_hard_limit_tokens: Tokens::ZERO,
             in_flight: 0,
+            most_in_flight: 0,
         }
     }
 
@@ -45,6 +47,15 @@
         -self.lowest_hard_limit_tokens
     }
 
+    /// How many attempts were in flight beyond the concurrency limit at worst.
+    #[must_use]
+    pub fn concurrency_excess(&self, plan: &Plan) -> u32 {
+        match plan.max_concurrency {
+            0 => 0,
+            limit => self.most_in_flight.saturating_sub(limit),
+        }
+    }
+
     /// Refills the buckets up to this time.
     pub fn refill(&mut self, plan: &Plan, now: Timestamp) {
         let elapsed = now - self.updated_at;
@@ -84,6 +95,7 @@
             value.over_quota_cost += plan.over_quota_penalty * plan.weight * cost.as_f64();
         }
         self.in_flight += 1;
+        self.most_in_flight = self.most_in_flight.max(self.in_flight);
         within_quota
     }
 
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -50,7 +50,7 @@
 //!     },
 //!     ..FleetScenario::default()
 //! };
-//! let randomness = Randomness::shared(Pcg64Mcg::seed_from_u64(1), GatewaySeeds::first(1));
+//! let randomness = Randomness::shared(Pcg64Mcg::seed_from_u64(1), GatewaySeeds::consecutive_from(1));
 //! let run = Fleet::new(&scenario, clients, (), randomness).run();
 //! assert_eq!(run.endpoints[0].work_received_between(Timestamp::ZERO, Timestamp(10.0)), 1.0);
 //! ```
@@ -67,7 +67,7 @@
 mod scenario;
 
 pub use clients::{
-    ArrivalSource, Arrivals, ClientRequest, ClientRetry, Clients, Patience, Shard,
+    Arrival, ArrivalSource, ClientDeadline, ClientRequest, ClientRetry, Clients, Shard,
     scheduled::{ScheduledClients, ScheduledRequest},
     tenants::{IdlePeriod, Surge, TenantClients, TenantTraffic},
 };
--- a/simulation/src/randomness.rs
+++ b/simulation/src/randomness.rs
@@ -5,7 +5,7 @@
 /// What random numbers are drawn for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RandomStream {
-    /// Arrivals, requests, disconnects and retries of clients.
+    /// Arrival, requests, disconnects and retries of clients.
     Clients,
     /// Loss, delay and tampering of gossip.
     Gossip,
@@ -31,7 +31,7 @@
 impl GatewaySeeds {
     /// Consecutive seeds, from this one for gateway 0.
     #[must_use]
-    pub fn first(first: u64) -> GatewaySeeds {
+    pub fn consecutive_from(first: u64) -> GatewaySeeds {
         GatewaySeeds {
             first,
             step: 1,
--- a/simulation/tests/parts.rs
+++ b/simulation/tests/parts.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn separate_stream_keeps_its_numbers_when_another_draws_more() {
-    let seeds = GatewaySeeds::first(0);
+    let seeds = GatewaySeeds::consecutive_from(0);
     let randomness = Randomness::shared(random(), seeds)
         .with_separate(RandomStream::Clients, Pcg64Mcg::seed_from_u64(2));
     let (mut undisturbed, mut disturbed) = (randomness.clone(), randomness);
@@ -174,4 +174,5 @@
     assert_eq!(value.within_quota, 24.0);
     assert_eq!(value.over_quota_cost, 10.0);
     assert_eq!(ledger.hard_limit_excess(), Tokens(8.0));
+    assert_eq!(ledger.concurrency_excess(&plan), 1);
 }
--- a/tests/decisions/slow_start_fleet.rs
+++ b/tests/decisions/slow_start_fleet.rs
@@ -47,24 +47,24 @@
 
 const ROLLING_RESTART: Rollout = Rollout {
     kind: RolloutKind::Restart,
-    part: 0.3,
+    fraction: 0.3,
     interval: Milliseconds(500.0),
     burst: false,
 };
 const HALF_AT_ONCE: Rollout = Rollout {
     kind: RolloutKind::Restart,
-    part: 0.5,
+    fraction: 0.5,
     interval: Milliseconds::ZERO,
     burst: false,
 };
 const NEARLY_ALL_REPLACED: Rollout = Rollout {
     kind: RolloutKind::Replacement,
-    part: 0.9,
+    fraction: 0.9,
     interval: Milliseconds::ZERO,
     burst: false,
 };
 
-/// The share of an even part of the traffic that new endpoints get over their warm-up.
+/// The traffic that new endpoints get over their warm-up, as a fraction of an equal share.
 #[derive(Debug)]
 struct Ramp {
     just_started: f64,
@@ -84,11 +84,11 @@
 
 /// What a simulated rollout came to.
 struct Measurements {
-    /// The most that a window held at a new endpoint, as a part of what it tolerates.
+    /// The most that a window held at a new endpoint, as a fraction of what it tolerates.
     worst_overload: f64,
     failed_endpoints: usize,
     ramp: Ramp,
-    /// What was served during the warm-up, as a part of what all endpoints could do.
+    /// What was served during the warm-up, as a fraction of what all endpoints could do.
     served: f64,
 }
 
@@ -99,7 +99,7 @@
             .map(|endpoint| rule.worst_overload(endpoint))
             .collect();
         Measurements {
-            failed_endpoints: overloads.iter().filter(|part| **part > 1.0).count(),
+            failed_endpoints: overloads.iter().filter(|overload| **overload > 1.0).count(),
             worst_overload: overloads.into_iter().fold(0.0, f64::max),
             ramp: Ramp {
                 just_started: share_of_traffic(fleet, Milliseconds(0.0)..Milliseconds(4000.0)),
@@ -153,7 +153,7 @@
     served.map(|request| request.work).sum()
 }
 
-/// What new endpoints got of an even part of the traffic in this time after their starts.
+/// The traffic that new endpoints got in this time after their starts, as a fraction of an equal share.
 fn share_of_traffic(fleet: &RolloutRun, after_start: Range<Milliseconds>) -> f64 {
     let period_of = |endpoint: &SimulatedEndpoint| {
         let started_at = endpoint.started_at();
@@ -178,7 +178,7 @@
         let period = start..FIRST_START + Milliseconds(1000.0) * f64::from(second + 1);
         let capacity: f64 = running_endpoints(fleet)
             .filter(|endpoint| endpoint.started_at() <= start)
-            .map(|endpoint| fleet.size.capacity * endpoint.warmth(start))
+            .map(|endpoint| fleet.size.capacity * endpoint.warmup_fraction(start))
             .sum();
         possible += capacity.min(offered_work(fleet, &period));
         served += served_work(fleet, &period);
--- a/tests/decisions/support/quota_fleet.rs
+++ b/tests/decisions/support/quota_fleet.rs
@@ -106,7 +106,7 @@
     let clients = ScheduledClients::new(workload.requests.clone(), CLIENT_TIMEOUT);
     let audit = QuotaAudit::new(&settings.plans, workload.plans_of_tenants.iter().copied());
     let generator = Pcg64Mcg::seed_from_u64(seed ^ 0xfee1);
-    let gateway_seeds = GatewaySeeds::first(seed.wrapping_mul(97));
+    let gateway_seeds = GatewaySeeds::consecutive_from(seed.wrapping_mul(97));
     let randomness = Randomness::shared(generator.clone(), gateway_seeds)
         .with_separate(RandomStream::Gossip, generator);
     Fleet::new(&scenario, clients, audit, randomness)
--- a/tests/decisions/support/slow_start_fleet.rs
+++ b/tests/decisions/support/slow_start_fleet.rs
@@ -1,11 +1,11 @@
-//! A simulated fleet of gateways, each with a thin part of the traffic, while endpoints start.
+//! A simulated fleet of gateways, each with a small fraction of the traffic, while endpoints start.
 
 use super::settings::slow_start_settings;
 use marlshelf::{AttemptResult, ClassIndex, GatewayId, Milliseconds, RequestId, Timestamp};
 use marlshelf_simulation::ledgers::OverloadRule;
 use marlshelf_simulation::{
-    ArrivalSource, Arrivals, ClientRequest, Clients, EndpointIndex, EndpointNames, EndpointPool,
-    Fleet, FleetScenario, GatewaySeeds, GossipNetwork, Incident, Observer, Patience,
+    Arrival, ArrivalSource, ClientDeadline, ClientRequest, Clients, EndpointIndex, EndpointNames,
+    EndpointPool, Fleet, FleetScenario, GatewaySeeds, GossipNetwork, Incident, Observer,
     PlannedIncident, RandomStream, Randomness, ResponseDelays, ServiceModel, SimulatedEndpoint,
     SlowStart,
 };
@@ -41,9 +41,9 @@
     pub endpoints: usize,
     /// Requests of mean work a second that a warm endpoint does.
     pub capacity: f64,
-    /// What is offered, as a part of what all endpoints can do when warm.
+    /// What is offered, as a fraction of what all endpoints can do when warm.
     pub utilization: f64,
-    /// The least that has to be served during the warm-up, as a part of what all endpoints could do.
+    /// The least that has to be served during the warm-up, as a fraction of what all endpoints could do.
     pub min_served: f64,
 }
 
@@ -51,8 +51,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Rollout {
     pub kind: RolloutKind,
-    /// The part of the endpoints that start.
-    pub part: f64,
+    /// The fraction of the endpoints that start.
+    pub fraction: f64,
     /// From one start to the next.
     pub interval: Milliseconds,
     /// Half as much traffic again arrives for the first half of the warm-up.
@@ -105,10 +105,10 @@
 
 impl Rollout {
     fn incidents(&self, endpoint_count: usize) -> Vec<PlannedIncident> {
-        let starts = (self.part * endpoint_count as f64).round() as usize;
+        let starts = (self.fraction * endpoint_count as f64).round() as usize;
         let at_each_start = |incident: fn(EndpointIndex) -> Incident| {
             (0..starts).map(move |start| {
-                // No neighbours in the order of names, by which gateways choose their subsets of endpoints.
+                // The step of 7 avoids neighbours in the order of names, by which gateways choose their subsets of endpoints.
                 let index = EndpointIndex(start * 7 % endpoint_count);
                 let at = FIRST_START + self.interval * start as f64;
                 PlannedIncident::at(at, incident(index))
@@ -124,20 +124,20 @@
 }
 
 /// Clients of which each uses one gateway only, with a Poisson process for each gateway.
-struct ThinTraffic {
+struct GatewayTraffic {
     /// The requests per second that each gateway receives.
     rates: Vec<f64>,
     has_burst: bool,
 }
 
-impl ThinTraffic {
-    fn new(size: &FleetSize, rollout: &Rollout, random: &mut Pcg64Mcg) -> ThinTraffic {
+impl GatewayTraffic {
+    fn new(size: &FleetSize, rollout: &Rollout, random: &mut Pcg64Mcg) -> GatewayTraffic {
         let requests_per_second = size.utilization * size.capacity * size.endpoints as f64;
-        let parts = traffic_parts(size.gateways, random);
-        ThinTraffic {
-            rates: parts
+        let fractions = traffic_fractions(size.gateways, random);
+        GatewayTraffic {
+            rates: fractions
                 .iter()
-                .map(|part| requests_per_second * part)
+                .map(|fraction| requests_per_second * fraction)
                 .collect(),
             has_burst: rollout.burst,
         }
@@ -152,53 +152,53 @@
     }
 }
 
-impl Clients for ThinTraffic {
+impl Clients for GatewayTraffic {
     fn first_arrivals(&mut self, random: &mut Pcg64Mcg) -> Vec<Timestamp> {
         (0..self.rates.len())
             .map(|gateway| self.next_arrival(gateway, Timestamp::ZERO, random))
             .collect()
     }
 
-    fn arrive(&mut self, source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrivals {
-        let next = self.next_arrival(source.0, now, random);
-        // The shard is one gateway, which owns the tenant's quota, so that quotas have no part in this.
+    fn arrive(&mut self, source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrival {
+        let next_at = self.next_arrival(source.0, now, random);
+        // The shard is one gateway, which owns the tenant's quota, so that quotas limit nothing here.
         let request = ClientRequest {
             tenant: "acme".into(),
             class: ClassIndex(usize::from(random.random_range(0..3) == 0)),
             work: random.random_range(0.5..1.5),
             ..ClientRequest::to_gateway(GatewayId(source.0 as u32))
         };
-        Arrivals {
-            now: Some(request),
-            next: Some(next),
+        Arrival {
+            request: Some(request),
+            next_at: Some(next_at),
         }
     }
 
-    fn patience(
+    fn client_deadline(
         &mut self,
         request: &ClientRequest,
         now: Timestamp,
         _random: &mut Pcg64Mcg,
-    ) -> Patience {
-        Patience {
+    ) -> ClientDeadline {
+        ClientDeadline {
             deadline: now + CLIENT_TIMEOUTS[request.class.0],
             disconnect_at: None,
         }
     }
 }
 
-/// One gateway in eight gets several times the traffic of the others. The parts add up to 1.
-fn traffic_parts(gateways: u32, random: &mut Pcg64Mcg) -> Vec<f64> {
-    let parts = (0..gateways).map(|gateway| {
+/// One gateway in eight gets several times the traffic of the others. The fractions add up to 1.
+fn traffic_fractions(gateways: u32, random: &mut Pcg64Mcg) -> Vec<f64> {
+    let weights = (0..gateways).map(|gateway| {
         if gateway.is_multiple_of(8) {
             random.random_range(3.0..5.0)
         } else {
             random.random_range(0.3..1.0)
         }
     });
-    let parts: Vec<f64> = parts.collect();
-    let sum: f64 = parts.iter().sum();
-    parts.iter().map(|part| part / sum).collect()
+    let weights: Vec<f64> = weights.collect();
+    let sum: f64 = weights.iter().sum();
+    weights.iter().map(|weight| weight / sum).collect()
 }
 
 /// What became of a request.
@@ -257,13 +257,16 @@
         ..FleetScenario::default()
     };
     let mut generator = Pcg64Mcg::seed_from_u64(seed);
-    let clients = ThinTraffic::new(&size, &rollout, &mut generator);
+    let clients = GatewayTraffic::new(&size, &rollout, &mut generator);
     // Traffic and discovery alone decide the run: what else draws random numbers has no effect here.
     let unused = generator.clone();
-    let randomness = Randomness::shared(generator, GatewaySeeds::first(seed.wrapping_mul(977)))
-        .with_separate(RandomStream::Endpoints, unused.clone())
-        .with_separate(RandomStream::Gossip, unused.clone())
-        .with_separate(RandomStream::Host, unused);
+    let randomness = Randomness::shared(
+        generator,
+        GatewaySeeds::consecutive_from(seed.wrapping_mul(977)),
+    )
+    .with_separate(RandomStream::Endpoints, unused.clone())
+    .with_separate(RandomStream::Gossip, unused.clone())
+    .with_separate(RandomStream::Host, unused);
     let run = Fleet::new(&scenario, clients, RequestLog::default(), randomness).run();
     RolloutRun {
         size,
