--- /dev/null
+++ b/src/decisions/quota/client_side.rs
@@ -0,0 +1,298 @@
+//! The accounts that this gateway uses: its requests need tokens and permits of their owners.
+
+use super::owner::QueuedDecision;
+use super::{
+    LeaseDecision, LeaseRequest, QuotaClient, Quotas, Settlement, Unused, schedule_renewal,
+};
+use crate::decisions::account::AccountId;
+use crate::decisions::context::EventContext;
+use crate::decisions::gossip::{
+    GossipMessage, OwnerState, PermitId, QuotaRequest, QuotaRequestId, TenantKey,
+};
+use crate::decisions::requests::{QuotaGrant, ReceivedRequest};
+use crate::events::{GatewayId, Request};
+use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
+
+/// The outcome of [`Quotas::check_locally`].
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) enum LocalCheck {
+    /// All permits of this gateway's own are in use.
+    NoFreePermit {
+        /// The number of these permits.
+        permits: u32,
+    },
+    /// This gateway's part of the hard limit does not cover the request.
+    OverHardLimit,
+    /// The request may be forwarded.
+    Passed {
+        /// The tokens to charge to this gateway's part of the hard limit.
+        hard_limit_cost: Tokens,
+    },
+}
+
+/// The permit of a request that has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum FreedPermit {
+    /// The request had none that another one could use.
+    None,
+    /// One of this gateway's own.
+    Local,
+    /// One that the gateways of the shard share, leased under this number.
+    Shared(QuotaRequestId),
+}
+
+impl Quotas {
+    /// Decides how a request that has just arrived gets its tokens.
+    pub(crate) fn request(
+        &mut self,
+        received: &ReceivedRequest,
+        context: &mut EventContext,
+    ) -> LeaseDecision {
+        let (account, request) = (received.account, &received.request);
+        let tenant = self.tenants.touch(account, &self.settings, context);
+        let conditions = context.conditions();
+        tenant
+            .client
+            .request(account, request, &self.settings, conditions)
+    }
+
+    /// Asks the owner for what a request and those to come need. `None` asks for nothing.
+    pub(crate) fn ask_owner(
+        &self,
+        received: &ReceivedRequest,
+        lease: Option<LeaseRequest>,
+        context: &mut EventContext,
+    ) {
+        let Some(lease) = lease else { return };
+        let message = GossipMessage::RequestQuota {
+            plan: received.account.plan,
+            request: self.quota_request(received, lease),
+        };
+        context.send_to_owner(received.account, &message, Milliseconds::ZERO);
+    }
+
+    /// Asks the owner again, since the first message or the response to it may have been lost. The owner
+    /// charges the request once.
+    pub(crate) fn ask_owner_again(&self, received: &ReceivedRequest, context: &mut EventContext) {
+        let lease = LeaseRequest {
+            cost: received.request.cost,
+            prefetch: Tokens::ZERO,
+            demand: Tokens::ZERO,
+            needs_permit: self.shares_permits(received.account),
+        };
+        self.ask_owner(received, Some(lease), context);
+    }
+
+    /// The quota request of a request that needs this lease.
+    pub(crate) fn quota_request(
+        &self,
+        received: &ReceivedRequest,
+        lease: LeaseRequest,
+    ) -> QuotaRequest {
+        QuotaRequest {
+            gateway: self.settings.gateway,
+            id: received.quota_request,
+            cost: lease.cost,
+            prefetch: lease.prefetch,
+            demand: lease.demand,
+            needs_permit: lease.needs_permit,
+            expires_at: received.wait_deadline,
+        }
+    }
+
+    /// Records the owner's state that came with a response.
+    pub(crate) fn set_owner_state(&mut self, tenant: TenantKey, state: OwnerState, now: Timestamp) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.client.set_owner_state(state, now);
+        }
+    }
+
+    /// Decides whether a request is forwarded although its owner has not responded, given a random number
+    /// between 0 and 1. Its cost is recorded, and reported to the owner when gossip arrives again.
+    pub(crate) fn admit_unconfirmed(&mut self, received: &ReceivedRequest, draw: f64) -> bool {
+        let (account, request) = (received.account, &received.request);
+        let plan = self.settings.plan(account.plan);
+        let Some(tenant) = self.tenants.get_mut(account.tenant) else {
+            return false;
+        };
+        if !tenant.client.admits_unconfirmed(request, plan, draw) {
+            return false;
+        }
+        let cost = request.cost * plan.over_quota_penalty.min(1.0);
+        if self.settings.gossip_enabled && cost > Tokens::ZERO {
+            let id = received.quota_request;
+            self.unconfirmed_usage.add(account, id, cost);
+        }
+        true
+    }
+
+    /// Reports to the owners the usage of requests that were forwarded without their response.
+    pub(crate) fn report_unconfirmed_usage(&mut self, context: &mut EventContext) {
+        for (account, report) in self.unconfirmed_usage.take_reports() {
+            context.send_to_owner(account, &report, Milliseconds::ZERO);
+        }
+    }
+
+    /// Settles usage that differs from what the owner granted. Returns the decisions on queued requests that
+    /// follow from it, where this gateway is the owner.
+    pub(crate) fn settle(
+        &mut self,
+        settlement: &Settlement,
+        context: &mut EventContext,
+    ) -> Vec<QueuedDecision> {
+        let Settlement { account, cost, .. } = *settlement;
+        let gateway = self.settings.gateway;
+        if account.owner == gateway {
+            let permit = settlement
+                .permit
+                .map(|request| PermitId { gateway, request });
+            return self.settle_as_owner(account, cost, permit, context);
+        }
+        if let Some(max_delay) = settlement.max_delay(&self.settings) {
+            context.send_to_owner(account, &settlement.message(), max_delay);
+        }
+        Vec::new()
+    }
+
+    /// Keeps tokens that were granted and not used for later requests, if it can. Returns what is to be
+    /// settled otherwise.
+    pub(crate) fn return_unused(
+        &mut self,
+        key: TenantKey,
+        owner: GatewayId,
+        unused: Unused,
+        now: Timestamp,
+    ) -> Option<Settlement> {
+        let Unused { tokens, permit } = unused;
+        let tenant = self.tenants.get_mut(key)?;
+        let shares_permits = tenant.shares_permits(&self.settings);
+        let may_keep = !shares_permits && owner != self.settings.gateway;
+        if may_keep && tenant.client.keep_unused(tokens, now) {
+            return None;
+        }
+        let is_settled = tokens > Tokens::ZERO || shares_permits && permit.is_some();
+        is_settled.then_some(Settlement {
+            account: AccountId {
+                tenant: key,
+                plan: tenant.plan,
+                owner,
+            },
+            cost: -tokens,
+            permit,
+        })
+    }
+
+    /// Checks a request against what this gateway may do without the owner.
+    pub(crate) fn check_locally(
+        &self,
+        received: &ReceivedRequest,
+        grant: QuotaGrant,
+    ) -> LocalCheck {
+        let account = received.account;
+        let tenant = self.tenants.get(account.tenant);
+        let client = tenant.map(|tenant| &tenant.client);
+        if let Some(permits) = client.and_then(QuotaClient::used_up_permits) {
+            return LocalCheck::NoFreePermit { permits };
+        }
+        let has_hard_limit =
+            self.settings.plan(account.plan).hard_limit_rate > TokensPerSecond::ZERO;
+        let is_leased = self.settings.gossip_enabled && grant.covers_cost();
+        let hard_limit_cost = if has_hard_limit && !is_leased {
+            received.request.cost
+        } else {
+            Tokens::ZERO
+        };
+        let covers = |client: &QuotaClient| client.hard_limit_covers(hard_limit_cost);
+        if !has_hard_limit || is_leased || client.is_some_and(covers) {
+            LocalCheck::Passed { hard_limit_cost }
+        } else {
+            LocalCheck::OverHardLimit
+        }
+    }
+
+    /// Counts a request that is forwarded, charges `hard_limit_cost` to this gateway's part of the hard
+    /// limit, and schedules the first renewal of its permit.
+    pub(crate) fn start_request(
+        &mut self,
+        received: &ReceivedRequest,
+        grant: QuotaGrant,
+        hard_limit_cost: Tokens,
+        context: &mut EventContext,
+    ) {
+        let (account, id) = (received.account, received.quota_request);
+        if let Some(tenant) = self.tenants.get_mut(account.tenant) {
+            tenant.client.start_request(hard_limit_cost);
+        }
+        if self.limits_concurrency(account) && grant.permit() == Some(id) {
+            schedule_renewal(id, context);
+        }
+    }
+
+    /// Counts a request that has ended. Returns the permit that it used and that another request may use now.
+    pub(crate) fn end_request(&mut self, account: AccountId, grant: QuotaGrant) -> FreedPermit {
+        let tenant = self.tenants.get_mut(account.tenant);
+        let has_local_permits = tenant.is_some_and(|tenant| {
+            tenant.client.end_request();
+            tenant.client.local_permit_limit().is_some()
+        });
+        match grant.permit() {
+            _ if has_local_permits => FreedPermit::Local,
+            Some(permit) if self.limits_concurrency(account) => FreedPermit::Shared(permit),
+            _ => FreedPermit::None,
+        }
+    }
+
+    /// Renews the lease of a permit that this gateway holds, if the gateways of the shard share the permits.
+    /// Returns when it is to be renewed next.
+    pub(crate) fn renew_permit(
+        &mut self,
+        account: AccountId,
+        permit: QuotaRequestId,
+        context: &mut EventContext,
+    ) -> Option<Timestamp> {
+        if !self.shares_permits(account) {
+            return None;
+        }
+        let next_renewal = schedule_renewal(permit, context);
+        let (plan, gateway) = (account.plan, self.settings.gateway);
+        if account.owner == gateway {
+            let request = permit;
+            self.renew_as_owner(account, PermitId { gateway, request }, context.now);
+        } else {
+            let message = GossipMessage::RenewPermit { plan, permit };
+            context.send_to_owner(account, &message, Milliseconds::ZERO);
+        }
+        Some(next_renewal)
+    }
+
+    /// Whether this gateway has permits of its own for an account.
+    pub(crate) fn has_local_permits(&self, account: AccountId) -> bool {
+        let tenant = self.tenants.get(account.tenant);
+        tenant.is_some_and(|tenant| tenant.client.local_permit_limit().is_some())
+    }
+
+    /// Whether the gateways of the account's shard share the permits of its plan.
+    fn shares_permits(&self, account: AccountId) -> bool {
+        self.limits_concurrency(account) && !self.has_local_permits(account)
+    }
+
+    fn limits_concurrency(&self, account: AccountId) -> bool {
+        self.settings.plan(account.plan).max_concurrency > 0
+    }
+
+    /// How long the client of a rejected request should wait before it retries; 0 for no advice. It is
+    /// advised only where the tokens that the request needs will not be available within its latency
+    /// objective: for a shorter time the client's own backoff serves better.
+    pub(crate) fn retry_after(&self, request: &Request, now: Timestamp) -> Milliseconds {
+        let key = TenantKey::new(&request.tenant, request.plan);
+        let tenant = self.tenants.get(key);
+        let available_in =
+            tenant.and_then(|tenant| tenant.tokens_available_in(request.cost, &self.settings, now));
+        let class = self.settings.classes.get(request.class.0);
+        let objective = class.map_or(Milliseconds::ZERO, |class| class.latency_objective);
+        match available_in {
+            Some(available_in) if available_in > objective => available_in.ceil(),
+            _ => Milliseconds::ZERO,
+        }
+    }
+}
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,9 +1,7 @@
 //! The decision engine of one gateway: takes in events, hands them to the decisions, and returns the actions.
 
-use crate::decisions::Decisions;
+use crate::decisions::{AccountId, Decisions, GossipMessage, TenantKey, TimerPurpose, decode};
 use crate::events::{Action, Event, GatewayId};
-use crate::gossip::{GossipMessage, PermitId, TenantKey, decode};
-use crate::records::{AccountId, TimerPurpose};
 use crate::settings::{Settings, SettingsError};
 use crate::units::Timestamp;
 use std::sync::Arc;
@@ -13,7 +11,7 @@
     decisions: Decisions,
     gateway: GatewayId,
     plan_count: usize,
-    now_ms: f64,
+    now: Timestamp,
 }
 
 impl DecisionEngine {
@@ -26,7 +24,7 @@
         Ok(DecisionEngine {
             gateway: settings.gateway,
             plan_count: settings.plans.len(),
-            now_ms: 0.0,
+            now: Timestamp::ZERO,
             decisions: Decisions::new(Arc::new(settings), seed),
         })
     }
@@ -34,8 +32,8 @@
     /// Takes in one event, at this time, and returns what is to be done, in that order. The time
     /// never runs backwards: an earlier one than that of the last event counts as the same.
     pub fn handle_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
-        self.now_ms = self.now_ms.max(now.as_f64());
-        self.decisions.set_time(self.now_ms);
+        self.now = self.now.max(now);
+        self.decisions.set_time(self.now);
         match event {
             Event::EndpointsChanged { kind, endpoints } => {
                 self.decisions.on_endpoints_changed(kind, endpoints);
@@ -56,17 +54,11 @@
     }
 
     fn on_gossip(&mut self, from: GatewayId, text: &str) {
-        self.decisions.report_unconfirmed_usage();
-        for (tenant, message) in decode(text, from, self.now_ms) {
+        self.decisions.on_gossip();
+        for (tenant, message) in decode(text, from, self.now) {
             match message {
-                GossipMessage::QuotaResponse {
-                    request,
-                    decision,
-                    state,
-                } => {
-                    self.decisions.on_owner_state(tenant, state);
-                    self.decisions
-                        .on_quota_decision(tenant, from, request, decision);
+                GossipMessage::QuotaResponse(response) => {
+                    self.decisions.on_quota_response(tenant, from, response);
                 }
                 message => self.on_message_to_owner(from, tenant, message),
             }
@@ -82,31 +74,11 @@
             plan,
             owner: self.gateway,
         };
-        let permit_of = |request| PermitId {
-            gateway: from,
-            request,
-        };
         match message {
-            GossipMessage::RequestQuota {
-                request, demand, ..
-            } => {
-                self.decisions.on_quota_request(account, request, demand);
-            }
-            GossipMessage::SettleUsage { cost, permit, .. } => {
-                self.decisions
-                    .settle_owned(account, cost, permit.map(permit_of));
-            }
-            GossipMessage::ReportUnconfirmedUsage {
-                last_request, cost, ..
-            } => {
-                let ledger = self.decisions.owned(account);
-                ledger.charge_unconfirmed(permit_of(last_request), cost);
-            }
-            GossipMessage::RenewPermit { permit, .. } => {
-                self.decisions.owned(account);
-                self.decisions.renew_owned(account, permit_of(permit));
+            GossipMessage::RequestQuota { request, .. } => {
+                self.decisions.on_quota_request(account, request);
             }
-            GossipMessage::QuotaResponse { .. } => {}
+            message => self.decisions.on_usage_message(account, from, message),
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,8 +60,6 @@
 mod engine;
 mod events;
 pub mod gateway;
-mod gossip;
-mod records;
 mod settings;
 pub mod statistics;
 mod token_bucket;
