--- a/simulation/src/clients/mod.rs
+++ b/simulation/src/clients/mod.rs
@@ -110,7 +110,7 @@
     ) -> ClientDeadline;
 
     /// The client's retry after a final answer other than a success, if the client retries at all.
-    #[allow(unused_variables)]
+    #[expect(unused_variables, reason = "the default does nothing")]
     fn retry(
         &mut self,
         request: &ClientRequest,
--- a/simulation/src/observer.rs
+++ b/simulation/src/observer.rs
@@ -6,7 +6,7 @@
 /// Watches a run. It changes nothing and draws no random numbers, so that a run is the same with any observer.
 ///
 /// `()` is the observer that records nothing.
-#[allow(unused_variables)]
+#[expect(unused_variables, reason = "the default does nothing")]
 pub trait Observer {
     /// A client has sent a request, which its gateway receives next.
     fn on_request(&mut self, now: Timestamp, id: RequestId, request: &ClientRequest) {}
