--- a/tests/decisions/support/settings.rs
+++ b/tests/decisions/support/settings.rs
@@ -1,6 +1,6 @@
 //! Settings for gateways under test.
 
-use super::simulated_endpoint::{INITIAL_WARMTH, OVERLOAD_MULTIPLE, WARMUP_MS};
+use super::slow_start_fleet::{OVERLOAD_MULTIPLE, SLOW_START};
 use marlshelf::{
     DeduplicationScope, Idempotency, Milliseconds, Plan, RequestClass, Settings, Tokens,
     TokensPerSecond,
@@ -135,8 +135,8 @@
         max_attempts: 3,
         gossip_enabled: true,
         gossip_intake_per_second: 60.0,
-        initial_warmth: INITIAL_WARMTH,
-        warmup_duration: Milliseconds(WARMUP_MS),
+        initial_warmth: SLOW_START.initial_warmth,
+        warmup_duration: SLOW_START.warmup,
         warmup_overload_multiple: OVERLOAD_MULTIPLE,
         ..Settings::default()
     }
