--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -2,6 +2,7 @@
 
 use super::connection::{ALWAYS_ALLOWED_BYTES, ClientConnection};
 use super::connection_error::ConnectionError;
+use super::connection_state::{Awaited, ConnectionStep};
 use super::request::ClientRequest;
 use super::schema::RequestSchema;
 use super::{ClientEvent, ClientEventHandler};
@@ -31,12 +32,12 @@
     just_read: bool,
 }
 
-/// What came of a turn of starting commands.
-enum Turn {
+/// What came of the attempt to start commands.
+enum CommandBatch {
     /// At least one command was started.
     Started,
     /// The input holds no whole command.
-    NoWholeCommand,
+    Incomplete,
 }
 
 impl ConnectionTask {
@@ -66,19 +67,21 @@
             if self.connection.has_failed() {
                 return Ok(());
             }
-            // Input that arrived while the pipeline was full is consumed once there is capacity again.
+            // Input that arrived while the pipeline was full is consumed once there is capacity again. The client may
+            // have disconnected meanwhile (test
+            // `a_command_behind_a_full_pipeline_is_not_started_after_an_unseen_disconnect`).
             if self.has_pipeline_capacity() && !self.received.is_empty() {
                 if !std::mem::take(&mut self.just_read) && self.connection.is_disconnected() {
                     return Ok(());
                 }
                 match self.start_commands()? {
-                    Turn::Started => {
+                    CommandBatch::Started => {
                         if !self.received.is_empty() {
                             yield_now().await;
                         }
                         continue;
                     }
-                    Turn::NoWholeCommand => self.connection.partial_command_received(),
+                    CommandBatch::Incomplete => self.connection.partial_command_received(),
                 }
             }
             if self.connection.has_input_ended() {
@@ -87,11 +90,14 @@
             if !self.connection.reserve_input(self.received.capacity()) {
                 return Err(ConnectionError::OutOfMemory);
             }
-            if self.connection.has_timed_out() {
-                return Err(ConnectionError::RequestTimeout);
-            }
-            if self.connection.should_close() || self.wait().await.is_break() {
-                return Ok(());
+            match self.connection.next_step() {
+                ConnectionStep::RejectLateCommand => return Err(ConnectionError::RequestTimeout),
+                ConnectionStep::Close => return Ok(()),
+                ConnectionStep::Wait => {
+                    if self.wait().await.is_break() {
+                        return Ok(());
+                    }
+                }
             }
         }
     }
@@ -100,14 +106,19 @@
         self.connection.pending_responses() < MAX_PIPELINED
     }
 
-    /// Waits for something to do. Breaks when the client has disconnected.
+    /// Waits for something to do. Breaks when the client has disconnected, also while its input is not read (test
+    /// `a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read`).
     async fn wait(&mut self) -> ControlFlow<()> {
         let connection = &self.connection;
         let socket = connection.socket();
         let accepts_requests = !connection.is_closing() || connection.pending_responses() == 0;
         let reads = self.has_pipeline_capacity() && accepts_requests;
         let has_unsent = connection.has_unsent();
-        connection.set_waits_for_answer(!reads);
+        connection.set_awaited(if reads {
+            Awaited::Input
+        } else {
+            Awaited::Answer
+        });
         tokio::select! {
             () = socket.disconnected(), if !reads => return ControlFlow::Break(()),
             readiness = socket.readable(), if reads => {
@@ -136,8 +147,10 @@
         ControlFlow::Continue(())
     }
 
-    /// Starts whole commands of the input, as many as a turn and the pipeline allow.
-    fn start_commands(&mut self) -> Result<Turn, ProtocolError> {
+    /// Starts whole commands of the input, as many as a turn and the pipeline allow. After the turn it is checked again
+    /// whether the client has disconnected (test
+    /// `the_rest_of_a_batch_of_commands_is_not_started_after_an_unseen_disconnect`).
+    fn start_commands(&mut self) -> Result<CommandBatch, ProtocolError> {
         let mut consumed = 0;
         let mut started = 0;
         let result = loop {
@@ -157,9 +170,9 @@
         self.consume(consumed);
         result.map(|()| {
             if consumed > 0 {
-                Turn::Started
+                CommandBatch::Started
             } else {
-                Turn::NoWholeCommand
+                CommandBatch::Incomplete
             }
         })
     }
@@ -189,7 +202,8 @@
 
     fn start_request(&self, command: &Command) {
         if self.connection.has_input_ended() || self.connection.socket().is_input_end_known() {
-            // The client has disconnected. No later command can be answered in its order either.
+            // The client has disconnected. No later command can be answered in its order either (test
+            // `request_that_arrives_together_with_the_disconnect_is_not_forwarded`).
             self.connection.fail();
             return;
         }
@@ -224,12 +238,14 @@
         self.connection.respond(&echo);
     }
 
-    /// Responds with an error once all earlier requests are answered, and waits until the client has read it.
+    /// Responds with an error once all earlier requests are answered, and waits until the client has read it. A client
+    /// that disconnects before gets nothing, and its requests are dropped (test
+    /// `half_close_behind_malformed_input_drops_the_waiting_request`).
     async fn reject(&self, error: ConnectionError) {
         let connection = &self.connection;
         let socket = connection.socket();
         connection.respond(format!("-ERR protocol error: {error}\r\n").as_bytes());
-        connection.set_waits_for_answer(true);
+        connection.set_awaited(Awaited::Answer);
         while !connection.is_idle() && !connection.has_failed() {
             let has_unsent = connection.has_unsent();
             tokio::select! {
--- a/src/gateway/endpoints/response.rs
+++ b/src/gateway/endpoints/response.rs
@@ -1,8 +1,8 @@
 //! What a response of an endpoint says: the value, or what its error line means, with the load report and the
 //! actual cost that may come along.
 
-use crate::LoadReport;
 use crate::gateway::resp::Reply;
+use crate::{LoadReport, Tokens};
 
 /// A response, as far as the gateway tells responses apart.
 pub(crate) enum EndpointResponse<'a> {
@@ -10,8 +10,8 @@
     Success {
         /// The whole bulk string of the value, head and end included, as the client gets it.
         value: &'a [u8],
-        /// The actual cost in tokens, as the endpoint states it.
-        actual_cost: Option<f64>,
+        /// The actual cost, as the endpoint states it.
+        actual_cost: Option<Tokens>,
         load_report: Option<LoadReport>,
     },
     /// The endpoint rejected the request without executing it.
@@ -75,9 +75,9 @@
 }
 
 /// Reads the actual cost from the usage fields of a response.
-fn parse_actual_cost(text: &[u8]) -> Option<f64> {
+fn parse_actual_cost(text: &[u8]) -> Option<Tokens> {
     let (_, cost) = parse_fields(text).find(|(key, _)| *key == "cost")?;
-    cost
+    cost.map(Tokens)
 }
 
 /// Reads a load report; `None` if the text reports nothing that is known.
