--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,6 +1,8 @@
 //! The configuration of one gateway: the file that `GW_CONFIG` names, and the variables that override it.
 
-pub use crate::gateway::configuration_error::{ConfigurationError, ConfigurationSource};
+pub use crate::gateway::configuration_error::{
+    CONFIG_FILE_VARIABLE, ConfigurationError, ConfigurationSource,
+};
 
 use crate::gateway::discovery::EndpointUpdate;
 use crate::{Settings, SettingsDocument};
@@ -8,8 +10,6 @@
 use std::env;
 use std::net::SocketAddr;
 
-/// Names the configuration file.
-pub const CONFIG_FILE_VARIABLE: &str = "GW_CONFIG";
 /// Overrides the name of the gateway.
 pub const NAME_VARIABLE: &str = "GW_NAME";
 /// Overrides the address at which clients connect.
--- a/src/gateway/configuration_error.rs
+++ b/src/gateway/configuration_error.rs
@@ -1,12 +1,14 @@
 //! Why a configuration cannot be used.
 
 use crate::SettingsError;
-use crate::gateway::configuration::CONFIG_FILE_VARIABLE;
 use std::fmt;
 use std::io;
 use std::num::ParseIntError;
 use thiserror::Error;
 
+/// The environment variable that names the configuration file.
+pub const CONFIG_FILE_VARIABLE: &str = "GW_CONFIG";
+
 /// Why the configuration cannot be used. Each message is one line.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The settings that the decisions depend on, and their validation.
 //!
 //! [`Settings`] is what [`DecisionEngine::new`](crate::DecisionEngine::new) takes. It holds only what decisions
-//! read, in the terms of this library. [`SettingsDocument`](crate::SettingsDocument) is the serialized form that the
+//! read, in the terms of this library. [`SettingsDocument`] is the serialized form that the
 //! deployment and the simulator write, and converts into it.
 
 mod document;
--- a/tests/architecture/main.rs
+++ b/tests/architecture/main.rs
@@ -201,3 +201,25 @@
         );
     }
 }
+
+/// Times and durations are bare numbers only where the wire has them; elsewhere they are typed.
+#[test]
+fn milliseconds_are_bare_numbers_only_at_the_edges() {
+    for source in sources() {
+        if source.is_in(&WIRE_EDGES) {
+            continue;
+        }
+        for (index, line) in source.text.lines().enumerate() {
+            let is_bare = [
+                "_ms: f64",
+                "_ms: Option<f64>",
+                "_ms: u64",
+                "_MS: f64",
+                "_MS: u64",
+            ]
+            .iter()
+            .any(|bare| line.contains(bare));
+            assert!(!is_bare, "{}:{}: {}", source.path, index + 1, line.trim());
+        }
+    }
+}
