--- a/tests/process/endpoint_responses.rs
+++ b/tests/process/endpoint_responses.rs
@@ -38,6 +38,18 @@
     complete_on_new_connection(&mut in_flight.client, request, &fleet.endpoint, "c");
 }
 
+#[test]
+fn idle_connection_is_closed_when_bytes_arrive_on_it() {
+    let fleet = SingleEndpoint::start();
+    let mut in_flight = fleet.start_request(read_request(5000));
+    in_flight.complete("a");
+    // The beginning of a response, which would be taken for that of the next one.
+    in_flight.forwarded.send("*3\r\n");
+    in_flight
+        .forwarded
+        .expect_close("it has received bytes that belong to no request");
+}
+
 #[test]
 fn valid_value_is_returned_and_the_connection_closed_if_the_rest_of_the_response_is_malformed() {
     for malformed_rest in [
