--- a/src/decisions/forwarding.rs
+++ b/src/decisions/forwarding.rs
@@ -37,7 +37,7 @@
 pub(crate) enum FinalAnswer {
     /// None: the client has an answer, or has disconnected.
     None,
-    /// A rejection, which tells the client that a retry is safe.
+    /// A rejection, which means that a retry is safe.
     Reject,
     /// A failure, which does not tell whether the request has executed.
     Fail,
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -75,7 +75,7 @@
         self.context.now = now;
     }
 
-    /// Sends the gossip that is due, forgets idle tenants, and returns the actions of the event.
+    /// Sends the gossip that is due, evicts idle tenants, and returns the actions of the event.
     pub(crate) fn finish_event(&mut self) -> Vec<Action> {
         self.quotas.evict_idle(self.context.now);
         self.context.finish_event()
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,4 @@
-//! The decision engine of one gateway: takes in events, hands them to the decisions, and returns the actions.
+//! The decision engine of one gateway: it passes events to the decisions and returns the resulting actions.
 
 use crate::decisions::{AccountId, Decisions, GossipMessage, TenantKey, TimerPurpose, decode};
 use crate::events::{Action, Event, GatewayId};
@@ -6,7 +6,7 @@
 use crate::units::Timestamp;
 use std::sync::Arc;
 
-/// The decisions of one gateway, driven by events. It does no input or output and reads no clock.
+/// The decisions of one gateway, driven by events. The engine does no input or output and reads no clock.
 pub struct DecisionEngine {
     decisions: Decisions,
     gateway: GatewayId,
@@ -15,10 +15,10 @@
 }
 
 impl DecisionEngine {
-    /// A gateway that has just started and knows nothing yet. All its random numbers come from `seed`.
+    /// Creates the engine of a gateway that has just started. All its random numbers come from `seed`.
     ///
     /// # Errors
-    /// When the settings hold a figure that cannot be acted on.
+    /// Returns the first fault that [`Settings::validate`] finds.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(DecisionEngine {
@@ -29,8 +29,9 @@
         })
     }
 
-    /// Takes in one event, at this time, and returns what is to be done, in that order. The time
-    /// never runs backwards: an earlier one than that of the last event counts as the same.
+    /// Handles an event that happened at `now`. Returns the actions to carry out, in their order.
+    ///
+    /// Time never runs backwards: a time before that of the last event counts as that of the last event.
     pub fn handle_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         self.decisions.set_time(self.now);
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision engine: [`Event`]s that it takes in and [`Action`]s that it asks for.
+//! The interface of the decision engine: the [`Event`]s that it handles and the [`Action`]s that it returns.
 //!
 //! The caller reports everything that a gateway observes as an event and carries out the resulting actions in their
 //! order. It reports the end of each attempt that an [`Action::Forward`] started as an [`Event::AttemptFinished`], and
@@ -168,7 +168,7 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// Something that a gateway observes.
+/// An observation of a gateway.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// Discovery has sent a list of endpoints.
@@ -210,7 +210,7 @@
     },
 }
 
-/// Something that the engine asks the caller to do.
+/// An action that the caller has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
@@ -222,14 +222,14 @@
         /// When to abandon the attempt.
         deadline: Timestamp,
     },
-    /// Answer the request with a rejection, which is final and tells the client that a retry is safe.
+    /// Answer the request with a rejection, which is final and means that a retry is safe.
     Reject {
         /// The request to answer.
         request: RequestId,
         /// How long the client should wait before it retries; 0 gives no advice.
         retry_after: Milliseconds,
     },
-    /// Answer the request with a failure, which is final and does not tell whether the request has executed.
+    /// Answer the request with a failure, which is final and leaves open whether the request has executed.
     Fail {
         /// The request to answer.
         request: RequestId,
--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -23,7 +23,7 @@
 const HEX_DIGITS: usize = 16;
 /// Tenants are numbers of 33 bits.
 const TENANT_LIMIT: u64 = 1 << 33;
-/// An endpoint is told that the gateway waits at least this long.
+/// The shortest wait that is sent to an endpoint, in milliseconds.
 const MIN_WAIT_MS: u64 = 1;
 /// The bytes of CR LF.
 const TERMINATOR_LEN: usize = 2;
@@ -64,7 +64,7 @@
         name == IDEMPOTENT_COMMAND || name == EFFECT_COMMAND
     }
 
-    /// Validates a command as a request. `is_active` tells whether an active request has an id.
+    /// Validates a command as a request. `is_active` returns whether an active request has an id.
     ///
     /// # Errors
     /// When the command is not a valid request. The first error in the order of the command is reported.
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -18,7 +18,8 @@
 pub const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
 
 /// Traffic fills the memory with four kinds of data: incomplete commands, commands in flight, incomplete responses,
-/// and responses that clients do not read. Each may take one part in so many; the rest is for everything else.
+/// and responses that clients do not read. Each may take the memory limit divided by this. The rest is for everything
+/// else.
 const MEMORY_PURPOSE_DIVISOR: usize = 8;
 /// The fewest and the most descriptors that the configuration may set.
 const MIN_DESCRIPTORS: usize = 64;
--- a/src/gateway/discovery/schedule.rs
+++ b/src/gateway/discovery/schedule.rs
@@ -30,10 +30,10 @@
 /// leave time for another call. A service that all gateways share answers them in turn.
 const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 const SERVICE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The delay of the first call is at most one part in so many of the time after which an update counts as known.
+/// The delay of the first call is at most the time after which an update counts as known, divided by this.
 const POLL_INTERVAL_DIVISOR: u32 = 3;
-/// The mean delay before the next call to an agent is at most one part in so many of the time within which the
-/// gateway must respect that an endpoint drains.
+/// The mean delay before the next call to an agent is at most the time within which the gateway must respect that an
+/// endpoint drains, divided by this.
 const DRAIN_GRACE_DIVISOR: u32 = 4;
 /// Durations of the settings are kept within these bounds.
 const MIN_SETTING: Duration = Duration::from_millis(1);
--- a/src/gateway/endpoints/dialer.rs
+++ b/src/gateway/endpoints/dialer.rs
@@ -14,8 +14,7 @@
 pub type Connector =
     Rc<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = std::io::Result<TcpStream>>>>>;
 
-/// Opening a connection may take one part in so many of the attempt's time, so that time for another endpoint
-/// remains.
+/// Opening a connection may take the time of the attempt divided by this, so that time for another endpoint remains.
 const CONNECT_TIMEOUT_DIVISOR: u32 = 4;
 /// However little time is left, a connection may take this long to open.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
--- a/src/gateway/endpoints/pool.rs
+++ b/src/gateway/endpoints/pool.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Idle connections are closed after one part in so many of the time after which endpoints close them.
+/// Idle connections are closed after the time after which endpoints close them, divided by this.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
 /// Idle connections are looked through this many times within their idle timeout.
 const REAPS_PER_IDLE_TIMEOUT: u32 = 8;
--- a/src/gateway/endpoints/registry.rs
+++ b/src/gateway/endpoints/registry.rs
@@ -152,7 +152,7 @@
         names
     }
 
-    /// Closes the idle connections to endpoints that get no new requests, and forgets those that are removed.
+    /// Closes the idle connections to endpoints that get no new requests, and drops those that are removed.
     fn drop_unusable(&mut self) {
         for entry in self.endpoints.values_mut().filter(|e| !e.is_ready()) {
             entry.idle.close_all();
--- a/src/gateway/endpoints/response.rs
+++ b/src/gateway/endpoints/response.rs
@@ -4,7 +4,7 @@
 use crate::gateway::resp::Reply;
 use crate::{LoadReport, Tokens};
 
-/// A response, as far as the gateway tells responses apart.
+/// A response of an endpoint, by what it means to the gateway.
 pub(crate) enum EndpointResponse<'a> {
     /// The request was executed.
     Success {
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -17,8 +17,8 @@
 //! | `GossipSocket` | the socket to the other gateways |
 //! | `ServicePhase` | by when everything has to be answered |
 //!
-//! Two dispatchers say what happens when: `engine_actions` for what the engine asks for, and `socket_events` for what
-//! happens on sockets. Timers are dispatched in `timer_task`.
+//! Two dispatchers map what happens to what is done: `engine_actions` for the actions of the engine, and
+//! `socket_events` for the events of the sockets. Timers are dispatched in `timer_task`.
 
 mod endpoint_translator;
 mod engine_actions;
@@ -62,7 +62,7 @@
 use tokio::net::TcpStream;
 
 /// The engine's deadline lies this long before the client's: the client's time runs from when it sent the request,
-/// and the way of the answer back, also through a busy core, takes some of it.
+/// and the delivery of the answer, also by a busy core, takes some of it.
 const CLIENT_DEADLINE_MARGIN: Duration = Duration::from_millis(6);
 /// A request without a final answer this long after the engine's deadline fails, so that every client gets one.
 const ANSWER_GRACE: Duration = Duration::from_millis(3);
--- a/src/gateway/event_loop/running_attempt.rs
+++ b/src/gateway/event_loop/running_attempt.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What the engine is told of an attempt that ends now.
+    /// The outcome of an attempt that ends now, as the engine gets it.
     pub fn into_outcome(
         self,
         result: AttemptResult,
