--- a/tests/process/support/connection.rs
+++ b/tests/process/support/connection.rs
@@ -45,7 +45,7 @@
 
 /// Repeats a read that was interrupted. The kernel interrupts a read with a timeout when the process is stopped and
 /// continued, as a debugger does.
-fn retry_interrupted(mut read: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
+pub fn retry_interrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match read() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
--- a/tests/process/support/gossip_peer.rs
+++ b/tests/process/support/gossip_peer.rs
@@ -2,7 +2,7 @@
 
 use super::{
     ANY_PORT, GatewayProcess, NO_SHELL_LIMITS, StandInDiscovery, StandInEndpoint, TEST_TIMEOUT,
-    any_loopback_port,
+    any_loopback_port, retry_interrupted,
 };
 use std::net::{SocketAddr, UdpSocket};
 
@@ -64,9 +64,7 @@
     #[track_caller]
     pub fn receive(&self) -> String {
         let mut bytes = [0; DATAGRAM_BUFFER];
-        let (length, _) = self
-            .peer
-            .recv_from(&mut bytes)
+        let (length, _) = retry_interrupted(|| self.peer.recv_from(&mut bytes))
             .expect("the gateway sends a datagram within the timeout");
         String::from_utf8_lossy(&bytes[..length]).into_owned()
     }
@@ -76,9 +74,7 @@
     pub fn request_quota(&self, number: u32) -> String {
         self.send(format!("a,aa,0,{number:x},1.0,0.0,1.0,500;"));
         let mut bytes = [0; DATAGRAM_BUFFER];
-        let (length, sender) = self
-            .peer
-            .recv_from(&mut bytes)
+        let (length, sender) = retry_interrupted(|| self.peer.recv_from(&mut bytes))
             .expect("the gateway answers a quota request of its peer");
         assert!(
             sender == self.gossip_address && length <= 256,
