--- a/tests/process/graceful_shutdown.rs
+++ b/tests/process/graceful_shutdown.rs
@@ -3,32 +3,51 @@
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-#[test]
-fn sigterm_closes_idle_connections_and_answers_accepted_requests_before_the_exit() {
+/// Connects a client and sends this while the gateway accepts new connections.
+fn client_in_accept_grace(
+    gateway: &GatewayProcess,
+    shutdown: &ShutdownClock,
+    input: impl AsRef<[u8]>,
+) -> Result<Connection, ShutdownOver> {
+    let Some(mut client) = gateway.try_connect() else {
+        shutdown.check_accept_grace()?;
+        panic!("expected the gateway to accept a client within its accept grace period");
+    };
+    client.try_send(input);
+    shutdown.check_accept_grace()?;
+    Ok(client)
+}
+
+fn check_connections_after_sigterm() -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::start();
     let mut idle = fleet.gateway.connect();
     idle.expect_pong();
     let mut in_flight = fleet.start_request(read_request(8000));
-    fleet.gateway.signal(Signal::Terminate);
+    let shutdown = ShutdownClock::terminate(&fleet.gateway);
     fleet.gateway.wait_for_log(LOG_SHUTTING_DOWN);
     // New connections are accepted and served for a grace period.
     let started = Instant::now();
     while started.elapsed() < Duration::from_millis(150) {
-        fleet.gateway.connect().expect_pong();
+        client_in_accept_grace(&fleet.gateway, &shutdown, ping_command())?.expect_reply("+PONG");
     }
-    let mut late_client = fleet.gateway.connect();
-    let _late = complete_on_new_connection(
-        &mut late_client,
-        read_request(8000),
-        &fleet.endpoint,
-        "late",
-    );
+    let request = read_request(8000);
+    let mut late_client = client_in_accept_grace(&fleet.gateway, &shutdown, request)?;
+    let mut late = fleet.endpoint.next_connection();
+    late.answer_request("late");
+    late_client.expect_reply("late");
     idle.expect_close("it is idle during a graceful shutdown");
+    shutdown.check()?;
     in_flight.complete("busy");
     in_flight
         .client
         .expect_close("its last request is answered during a graceful shutdown");
     fleet.gateway.expect_successful_exit();
+    Ok(())
+}
+
+#[test]
+fn sigterm_closes_idle_connections_and_answers_accepted_requests_before_the_exit() {
+    check_once_set_up(check_connections_after_sigterm);
 }
 
 #[test]
@@ -68,33 +87,39 @@
     in_flight
 }
 
-#[test]
-fn client_in_the_accept_queue_of_a_full_gateway_is_answered_during_the_shutdown() {
+fn check_accept_queue_of_full_gateway() -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::configured(|config| config.socket_limit = 64);
     let mut in_flight = fill_connection_table(&fleet);
     let mut queued = fleet.gateway.connect();
     queued.send(ping_command());
-    fleet.gateway.signal(Signal::Terminate);
+    let shutdown = ShutdownClock::terminate(&fleet.gateway);
     fleet.gateway.wait_for_log(LOG_LISTENER_CLOSED);
+    shutdown.check()?;
     for request in &mut in_flight {
         request.complete("busy");
     }
     queued.expect_reply("+PONG");
     queued.expect_close("its command is answered during a graceful shutdown");
     fleet.gateway.expect_successful_exit();
+    Ok(())
 }
 
 #[test]
-fn request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit() {
+fn client_in_the_accept_queue_of_a_full_gateway_is_answered_during_the_shutdown() {
+    check_once_set_up(check_accept_queue_of_full_gateway);
+}
+
+fn check_requests_that_outlast_the_shutdown() -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::configured(|config| config.read_deadline_ms = "60000.0");
     let mut idle = fleet.gateway.connect();
     let mut unanswered = fleet.start_request(read_request(60_000));
     let mut answered = fleet.start_request(read_request(60_000));
     idle.expect_pong();
-    fleet.gateway.signal(Signal::Terminate);
+    let shutdown = ShutdownClock::terminate(&fleet.gateway);
     idle.expect_close("it is idle during a graceful shutdown");
     // Pipelined behind a request in flight. The endpoint does not answer this one either.
     answered.client.send(read_request(60_000));
+    shutdown.check()?;
     answered.complete("in time");
     let mut pipelined = fleet
         .endpoint
@@ -108,6 +133,12 @@
     unanswered.client.expect_reply_prefix("-");
     answered.client.expect_reply_prefix("-");
     fleet.gateway.expect_successful_exit();
+    Ok(())
+}
+
+#[test]
+fn request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit() {
+    check_once_set_up(check_requests_that_outlast_the_shutdown);
 }
 
 /// A gateway that waits for its first endpoint list, with discovery not answering. A gateway that was so slow to
--- a/tests/process/support/disconnects.rs
+++ b/tests/process/support/disconnects.rs
@@ -1,6 +1,6 @@
 //! The ways in which clients disconnect, in both phases of a gateway's life.
 
-use super::{Connection, GatewayProcess, unconnected_stream, wait_until_disconnected};
+use super::{Connection, GatewayProcess, Signal, unconnected_stream, wait_until_disconnected};
 use std::io::BufReader;
 use std::time::{Duration, Instant};
 
@@ -95,7 +95,10 @@
 /// tenths of the time that the protocol leaves it, which no setting makes longer. The rest is for the gateway itself.
 const LATEST_RESUME: Duration = Duration::from_millis(2800);
 
-/// The deadline of a shutdown passed before its case was set up, as the machine ran something else.
+/// How long after SIGTERM a gateway accepts new connections.
+const ACCEPT_GRACE: Duration = Duration::from_millis(500);
+
+/// The time of a shutdown passed before its case was set up, as the machine ran something else.
 #[derive(Debug)]
 pub struct ShutdownOver;
 
@@ -113,9 +116,26 @@
         ShutdownClock { began }
     }
 
+    /// Sends SIGTERM.
+    #[track_caller]
+    pub fn terminate(gateway: &GatewayProcess) -> ShutdownClock {
+        let began = Instant::now();
+        gateway.signal(Signal::Terminate);
+        ShutdownClock { began }
+    }
+
     /// Whether the case is set up in time.
     pub fn check(&self) -> Result<(), ShutdownOver> {
-        if self.began.elapsed() < LATEST_RESUME {
+        self.check_within(LATEST_RESUME)
+    }
+
+    /// Whether the gateway still accepts new connections. What has arrived by now is served.
+    pub fn check_accept_grace(&self) -> Result<(), ShutdownOver> {
+        self.check_within(ACCEPT_GRACE)
+    }
+
+    fn check_within(&self, limit: Duration) -> Result<(), ShutdownOver> {
+        if self.began.elapsed() < limit {
             Ok(())
         } else {
             Err(ShutdownOver)
--- a/tests/process/support/gateway_process.rs
+++ b/tests/process/support/gateway_process.rs
@@ -129,6 +129,11 @@
         Connection::new(TcpStream::connect(self.address).expect("the gateway accepts a client"))
     }
 
+    /// Connects a client, unless the gateway has closed its listener.
+    pub fn try_connect(&self) -> Option<Connection> {
+        TcpStream::connect(self.address).ok().map(Connection::new)
+    }
+
     /// How many file descriptors the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
