--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,6 +1,8 @@
 //! The configuration of one gateway: the file that `GW_CONFIG` names, and the variables that override it.
 
-pub use crate::gateway::configuration_error::{ConfigurationError, ConfigurationSource};
+pub use crate::gateway::configuration_error::{
+    CONFIG_FILE_VARIABLE, ConfigurationError, ConfigurationSource,
+};
 
 use crate::gateway::discovery::EndpointUpdate;
 use crate::{Settings, SettingsDocument};
@@ -8,8 +10,6 @@
 use std::env;
 use std::net::SocketAddr;
 
-/// Names the configuration file.
-pub const CONFIG_FILE_VARIABLE: &str = "GW_CONFIG";
 /// Overrides the name of the gateway.
 pub const NAME_VARIABLE: &str = "GW_NAME";
 /// Overrides the address at which clients connect.
@@ -18,7 +18,8 @@
 pub const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
 
 /// Traffic fills the memory with four kinds of data: incomplete commands, commands in flight, incomplete responses,
-/// and responses that clients do not read. Each may take one part in so many; the rest is for everything else.
+/// and responses that clients do not read. Each may take the memory limit divided by this. The rest is for everything
+/// else.
 const MEMORY_PURPOSE_DIVISOR: usize = 8;
 /// The fewest and the most descriptors that the configuration may set.
 const MIN_DESCRIPTORS: usize = 64;
