--- a/src/decisions/context.rs
+++ b/src/decisions/context.rs
@@ -1,5 +1,5 @@
-//! What the components share while one event is handled: its time, the random numbers, and the actions that
-//! it leads to.
+//! State that the components share while an event is handled: its time, the random number generator and the
+//! resulting actions.
 
 use super::account::AccountId;
 use super::gossip::{GossipMessage, GossipOutbox, QuotaRequestId, TenantKey};
@@ -9,21 +9,19 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The token of the gossip timer. Greater tokens are those of requests: this one plus the number of the quota
-/// request.
+/// The token of the gossip timer. The token of a request timer is this value plus the quota request number.
 const GOSSIP_TIMER: TimerToken = TimerToken(1);
 
-/// What a timer was set for.
+/// The purpose of a timer, decoded from its token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TimerPurpose {
-    /// Gossip is due.
+    /// Send gossip that is due.
     Gossip,
-    /// The wait of a request has ended, or the lease of its permit is to be renewed.
+    /// End the wait of a request, or renew its permit lease.
     Request(QuotaRequestId),
 }
 
 impl TimerPurpose {
-    /// What the timer with this token was set for.
     pub(crate) fn of(token: TimerToken) -> TimerPurpose {
         match token {
             GOSSIP_TIMER => TimerPurpose::Gossip,
@@ -32,26 +30,26 @@
     }
 }
 
-/// The time of an event, and the mean latency of the endpoints then.
+/// The time of an event and the mean endpoint latency at that time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Conditions {
     pub now: Timestamp,
     pub mean_latency: Milliseconds,
 }
 
-/// The context in which one event is handled.
+/// The time, random numbers and accumulated actions of the event being handled.
 pub(crate) struct EventContext {
     pub now: Timestamp,
-    /// The mean latency of answers from the endpoints.
+    /// Mean latency of endpoint responses, over all endpoints and classes.
     pub mean_latency: Milliseconds,
-    /// The only source of random numbers. Decisions are reproducible with the same sequence of draws.
+    /// The only source of random numbers, so that decisions are reproducible for the same sequence of draws.
     pub rng: Pcg64Mcg,
     actions: Vec<Action>,
     outbox: GossipOutbox,
 }
 
 impl EventContext {
-    /// A context without actions. All random numbers come from `seed`.
+    /// Creates a context without actions, whose random numbers all come from `seed`.
     pub(crate) fn new(settings: &Settings, mean_latency: Milliseconds, seed: u64) -> EventContext {
         EventContext {
             now: Timestamp::ZERO,
@@ -62,7 +60,7 @@
         }
     }
 
-    /// The time of the event, and the mean latency.
+    /// Returns a copy of the time and the mean latency, for calls that must not borrow the whole context.
     pub(crate) fn conditions(&self) -> Conditions {
         Conditions {
             now: self.now,
@@ -70,7 +68,7 @@
         }
     }
 
-    /// Starts an attempt.
+    /// Adds an action that starts an attempt, to be abandoned at `deadline`.
     pub(crate) fn forward(
         &mut self,
         request: RequestId,
@@ -84,7 +82,7 @@
         });
     }
 
-    /// Answers that the request was rejected.
+    /// Adds an action that rejects the request. A `retry_after` of zero gives the client no retry advice.
     pub(crate) fn reject(&mut self, request: RequestId, retry_after: Milliseconds) {
         self.actions.push(Action::Reject {
             request,
@@ -92,19 +90,19 @@
         });
     }
 
-    /// Answers that the request has failed.
+    /// Adds an action that fails the request, which leaves open whether it has been executed.
     pub(crate) fn fail(&mut self, request: RequestId) {
         self.actions.push(Action::Fail { request });
     }
 
-    /// Sets a timer for a request.
+    /// Adds an action that sets a timer with the token of this quota request.
     pub(crate) fn set_request_timer(&mut self, request: QuotaRequestId, delay: Milliseconds) {
         let token = TimerToken(GOSSIP_TIMER.0 + request.0);
         self.actions.push(Action::SetTimer { token, delay });
     }
 
-    /// Sends a message to the owner of an account, with the next datagram that is sent to it within
-    /// `max_delay`.
+    /// Queues a message to the owner of an account. It is sent with the next datagram to that gateway, which
+    /// becomes due within `max_delay`.
     pub(crate) fn send_to_owner(
         &mut self,
         account: AccountId,
@@ -114,8 +112,8 @@
         self.send(account.owner, account.tenant, message, max_delay);
     }
 
-    /// Sends a message about a tenant to a gateway, with the next datagram that is sent to it within
-    /// `max_delay`.
+    /// Queues a message about a tenant to a gateway. It is sent with the next datagram to that gateway, which
+    /// becomes due within `max_delay`.
     pub(crate) fn send(
         &mut self,
         to: GatewayId,
@@ -131,12 +129,12 @@
         }
     }
 
-    /// Records that the gossip timer has fired.
+    /// Tells the outbox that its timer has fired, so that it can request another one.
     pub(crate) fn on_gossip_timer(&mut self) {
         self.outbox.on_timer_fired();
     }
 
-    /// Sends the gossip that is due, and returns the actions of the event.
+    /// Sends due gossip, sets the next gossip timer and returns the accumulated actions.
     pub(crate) fn finish_event(&mut self) -> Vec<Action> {
         self.outbox.accrue_allowance(self.now);
         while let Some(datagram) = self.outbox.pop_due(self.now) {
--- a/src/decisions/forwarding.rs
+++ b/src/decisions/forwarding.rs
@@ -1,7 +1,7 @@
-//! Forwarding: the attempts of requests that their quota covers.
+//! Forwards requests that hold a quota grant.
 //!
-//! Load shedding may reject a request before its first attempt. Load balancing chooses the endpoints, and the
-//! retry policy decides on further attempts after one has failed.
+//! Load shedding may reject a request before its first attempt. Load balancing chooses the endpoint of each
+//! attempt, and the retry policy decides whether a failed attempt is retried.
 
 use super::context::EventContext;
 use super::load_balancing::{LoadBalancer, RetryAttempt};
@@ -15,35 +15,34 @@
 use crate::units::Milliseconds;
 use std::sync::Arc;
 
-/// What follows the end of an attempt.
+/// The next step after an attempt has ended.
 #[derive(Debug)]
 pub(crate) enum NextStep {
-    /// Another attempt, at this endpoint.
+    /// Retry on this endpoint.
     Retry(EndpointName),
-    /// The request has ended.
+    /// End the request; no further attempt is made.
     End(RequestEnd),
 }
 
-/// How a request ends whose last attempt has ended.
+/// The outcome and the response of a request whose last attempt has ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestEnd {
-    /// The outcome to record; `None` where it was recorded before.
+    /// The outcome to record; `None` if it has been recorded already.
     pub outcome: Option<RequestOutcome>,
-    pub answer: FinalAnswer,
+    pub response: FinalResponse,
 }
 
-/// The answer that the gateway still owes the client.
+/// The response that the gateway still has to send to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum FinalAnswer {
-    /// None: the client has an answer, or has disconnected.
+pub(crate) enum FinalResponse {
+    /// The client has received a response or has disconnected.
     None,
-    /// A rejection, which means that a retry is safe.
+    /// A rejection, which tells the client that a retry is safe.
     Reject,
-    /// A failure, which does not tell whether the request has executed.
+    /// A failure, which leaves open whether the request has been executed.
     Fail,
 }
 
-/// Load shedding, load balancing and retries of one gateway.
 pub(crate) struct Forwarding {
     load_shedder: LoadShedder,
     load_balancer: LoadBalancer,
@@ -51,7 +50,7 @@
 }
 
 impl Forwarding {
-    /// A gateway that knows no endpoint yet.
+    /// Creates the forwarding state of a gateway that has no endpoint list yet.
     pub(crate) fn new(settings: &Arc<Settings>) -> Forwarding {
         Forwarding {
             load_shedder: LoadShedder::new(settings.clone()),
@@ -60,12 +59,11 @@
         }
     }
 
-    /// The mean latency of answers over all endpoints and classes.
+    /// Mean latency of endpoint responses, over all endpoints and classes.
     pub(crate) fn mean_latency(&self) -> Milliseconds {
         self.load_balancer.mean_latency()
     }
 
-    /// Applies an endpoint list.
     pub(crate) fn apply_endpoint_list(
         &mut self,
         kind: EndpointListKind,
@@ -75,15 +73,16 @@
         self.load_balancer.apply_list(kind, endpoints, context.now);
     }
 
-    /// Counts a request that has arrived. Returns its tier, if the settings have its class and its plan.
+    /// Adds a new request to the retry budget and returns its tier, or `None` if the settings lack its class
+    /// or plan.
     pub(crate) fn request_arrived(&mut self, request: &Request) -> Option<PriorityTier> {
         let tier = self.load_shedder.tier_of(request.class, request.plan)?;
         self.retry_policy.request_arrived();
         Some(tier)
     }
 
-    /// The endpoint for the first attempt of a request. `None` if the request is shed or no endpoint has
-    /// capacity for it, which is recorded.
+    /// Chooses the endpoint for the first attempt of a request. Returns `None`, and records the request as
+    /// unserved, if load shedding rejects it or no endpoint has capacity for it.
     pub(crate) fn first_endpoint(
         &mut self,
         received: &ReceivedRequest,
@@ -102,14 +101,14 @@
                     .choose_for_first_attempt(class, now, &mut context.rng)
             }
         };
-        // A client's retry that is rejected here was counted with the first request.
+        // A rejected client retry is not recorded: the original request has been counted already.
         if endpoint.is_none() && !received.request.is_retry {
             self.record(tier, RequestOutcome::Unserved, context);
         }
         endpoint
     }
 
-    /// Starts an attempt of a request.
+    /// Starts an attempt, which is abandoned when a response would no longer be useful.
     pub(crate) fn start_attempt(
         &mut self,
         request: &mut InFlightRequest,
@@ -121,10 +120,10 @@
         let (id, class) = (received.request.id, received.request.class);
         self.load_balancer
             .attempt_started(id, class, &endpoint, context.now);
-        context.forward(id, endpoint, received.useful_until);
+        context.forward(id, endpoint, received.attempt_deadline);
     }
 
-    /// Starts a retry, which the budget pays for.
+    /// Starts a retry and charges it to the retry budget.
     pub(crate) fn start_retry(
         &mut self,
         request: &mut InFlightRequest,
@@ -135,8 +134,8 @@
         self.start_attempt(request, endpoint, context);
     }
 
-    /// Updates the estimates by the outcome of an attempt, and records whether its request may have been
-    /// executed.
+    /// Updates the endpoint estimates from the outcome of an attempt. Records the first attempt that may have
+    /// been executed.
     pub(crate) fn attempt_finished(
         &mut self,
         request: Option<&mut InFlightRequest>,
@@ -153,41 +152,42 @@
         }
     }
 
-    /// Decides what follows the end of an attempt.
+    /// Decides whether to retry or to end the request after an attempt has ended.
     pub(crate) fn next_step(
         &self,
         request: &InFlightRequest,
         outcome: &AttemptOutcome,
         context: &mut EventContext,
     ) -> NextStep {
-        let in_time = request.received.is_in_time(context.now);
+        let within_objective = request.received.meets_latency_objective(context.now);
         let accepted_if = |result| {
-            let accepted = outcome.result == result && in_time;
+            let accepted = outcome.result == result && within_objective;
             Some(RequestOutcome::accepted_if(accepted))
         };
         if request.client_disconnected {
             return NextStep::End(RequestEnd {
                 outcome: None,
-                answer: FinalAnswer::None,
+                response: FinalResponse::None,
             });
         }
         if outcome.request_ended {
             return NextStep::End(RequestEnd {
                 outcome: accepted_if(AttemptResult::Success),
-                answer: FinalAnswer::None,
+                response: FinalResponse::None,
             });
         }
         if let Some(endpoint) = self.retry_endpoint(request, outcome, context) {
             return NextStep::Retry(endpoint);
         }
         NextStep::End(RequestEnd {
-            // An error is an answer: the endpoint had capacity for the request.
+            // An error response within the objective shows that the endpoint had capacity for the request.
             outcome: accepted_if(AttemptResult::Error),
-            answer: self.final_answer(request),
+            response: self.final_response(request),
         })
     }
 
-    /// The endpoint for a retry, if one is allowed, affordable and still of use.
+    /// Chooses the endpoint for a retry. Returns `None` if the request must not be retried, the budget is
+    /// exhausted, or no endpoint can respond before the objective deadline.
     fn retry_endpoint(
         &self,
         request: &InFlightRequest,
@@ -213,17 +213,18 @@
             .choose_for_retry(&retry, now, &mut context.rng)
     }
 
-    /// The answer to a request whose attempts have all failed.
-    fn final_answer(&self, request: &InFlightRequest) -> FinalAnswer {
+    /// Returns the response to a request whose attempts have all failed: a rejection if a client retry is
+    /// safe.
+    fn final_response(&self, request: &InFlightRequest) -> FinalResponse {
         let class = request.received.request.class;
-        if request.first_execution.is_none() || self.retry_policy.client_may_repeat(class) {
-            FinalAnswer::Reject
+        if request.first_execution.is_none() || self.retry_policy.client_may_retry(class) {
+            FinalResponse::Reject
         } else {
-            FinalAnswer::Fail
+            FinalResponse::Fail
         }
     }
 
-    /// Records the outcome of a request for load shedding.
+    /// Records the final outcome of a request with the load shedder.
     pub(crate) fn record(
         &mut self,
         tier: PriorityTier,
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,17 +1,19 @@
-//! The decisions of one gateway, without input, output or a clock. Events and actions: `src/events.rs`.
+//! The decision logic of one gateway. It does no input or output and reads no clock. `src/events.rs` defines
+//! its events and actions.
 //!
-//! The life of a request:
+//! A request passes through these stages:
 //!
-//! 1. Its tenant's quota ([`quota`]): tokens were leased in advance, or the owner of the quota grants them. A
-//!    request may wait for the owner's response and for a concurrency permit ([`requests`]).
-//! 2. Load shedding may reject it, low priority first; otherwise load balancing chooses an endpoint and the
-//!    first attempt starts. A failed attempt is followed by another, if that is safe and the budget allows it
-//!    ([`forwarding`]).
-//! 3. Its permit is transferred to the next request or released, and usage that differs from the grant is
-//!    settled.
+//! 1. Quota ([`quota`]): the gateway uses tokens that were leased in advance, or asks the owner of the quota
+//!    for a grant. The request may have to wait for the owner's response and for a concurrency permit
+//!    ([`requests`]).
+//! 2. Forwarding ([`forwarding`]): load shedding may reject the request, low priority tiers first. Otherwise
+//!    load balancing chooses an endpoint and the first attempt starts. A failed attempt is retried if a retry
+//!    is safe and within the retry budget.
+//! 3. Completion: the permit is transferred to the tenant's next request or released, and a difference
+//!    between actual usage and the grant is settled with the owner.
 //!
-//! [`Decisions`] coordinates these components. Each owns its state and uses none of the others. This file has
-//! the life of a request, `quota_exchange.rs` what passes between this gateway and the owners of quotas.
+//! [`Decisions`] coordinates these components. Each component owns its state and does not access the others.
+//! This file implements the request lifecycle; `quota_exchange.rs` implements the exchange with quota owners.
 
 mod account;
 mod context;
@@ -29,7 +31,7 @@
 use crate::settings::Settings;
 use crate::units::{Timestamp, Tokens};
 use context::EventContext;
-use forwarding::{FinalAnswer, Forwarding, NextStep, RequestEnd};
+use forwarding::{FinalResponse, Forwarding, NextStep, RequestEnd};
 use gossip::{QuotaDecision, QuotaRequestId};
 use load_shedding::RequestOutcome;
 use quota::{FreedPermit, LeaseDecision, LeaseRequest, LocalCheck, Quotas, Settlement};
@@ -43,10 +45,10 @@
 pub(crate) use context::TimerPurpose;
 pub(crate) use gossip::{GossipMessage, TenantKey, decode};
 
-/// The bits of the seed from which quota requests are numbered.
+/// The bits of the seed that select the first quota request number.
 const FIRST_QUOTA_REQUEST_MASK: u64 = 0xff_ffff;
 
-/// Coordinates the components that decide for one gateway.
+/// Coordinates the components that make the decisions of one gateway.
 pub(crate) struct Decisions {
     settings: Arc<Settings>,
     quotas: Quotas,
@@ -56,10 +58,11 @@
 }
 
 impl Decisions {
-    /// A gateway that has just started and knows nothing yet.
+    /// Creates the state of a gateway that has just started and has no endpoint list yet.
     pub(crate) fn new(settings: Arc<Settings>, seed: u64) -> Decisions {
         let forwarding = Forwarding::new(&settings);
-        // Owners may still know requests of an earlier incarnation of this gateway, and respond to them.
+        // Numbering starts at a seeded offset, because owners may still hold requests of an earlier
+        // incarnation of this gateway and respond to them.
         let last_request = QuotaRequestId(seed & FIRST_QUOTA_REQUEST_MASK);
         Decisions {
             quotas: Quotas::new(settings.clone()),
@@ -70,29 +73,26 @@
         }
     }
 
-    /// Sets the time of the event that follows.
     pub(crate) fn set_time(&mut self, now: Timestamp) {
         self.context.now = now;
     }
 
-    /// Sends the gossip that is due, evicts idle tenants, and returns the actions of the event.
+    /// Evicts idle tenants, sends due gossip and returns the actions accumulated while handling the event.
     pub(crate) fn finish_event(&mut self) -> Vec<Action> {
         self.quotas.evict_idle(self.context.now);
         self.context.finish_event()
     }
 
-    /// The gossip timer has fired.
     pub(crate) fn on_gossip_timer(&mut self) {
         self.context.on_gossip_timer();
     }
 
-    /// Discovery has sent an endpoint list.
+    /// Handles a snapshot or a delta of the endpoint list from discovery.
     pub(crate) fn on_endpoints_changed(&mut self, kind: EndpointListKind, list: Vec<Endpoint>) {
         self.forwarding
             .apply_endpoint_list(kind, list, &self.context);
     }
 
-    /// A client has sent a request.
     pub(crate) fn on_request(&mut self, request: Request) {
         let Some(tier) = self.forwarding.request_arrived(&request) else {
             return self.reject(&request);
@@ -112,7 +112,7 @@
                 self.settle(Settlement::of_tokens(received.account, -expired));
                 let gossip_enabled = self.settings.gossip_enabled;
                 let pending = PendingRequest::awaiting_owner(received, gossip_enabled);
-                self.requests.wait(pending, &mut self.context);
+                self.requests.insert_pending(pending, &mut self.context);
             }
         }
     }
@@ -124,12 +124,13 @@
             QuotaDecision::Denied => self.reject(&received.request),
             QuotaDecision::Queued => {
                 let pending = PendingRequest::queued_by_owner(received);
-                self.requests.wait(pending, &mut self.context);
+                self.requests.insert_pending(pending, &mut self.context);
             }
         }
     }
 
-    /// The timer of a request has fired: its wait has ended, or the lease of its permit is to be renewed.
+    /// Handles the firing of a request's timer: either its wait has timed out, or its permit lease is due for
+    /// renewal.
     pub(crate) fn on_request_timer(&mut self, id: QuotaRequestId) {
         let Some(pending) = self.requests.remove_expired(id, self.context.now) else {
             return self.renew_permit(id);
@@ -138,7 +139,7 @@
         if self.settings.gossip_enabled && pending.state == WaitState::AwaitingOwner {
             self.quotas.ask_owner_again(received, &mut self.context);
             let pending = pending.awaiting_owner_again();
-            return self.requests.wait(pending, &mut self.context);
+            return self.requests.insert_pending(pending, &mut self.context);
         }
         let draw = self.context.rng.random::<f64>();
         if !pending.awaits_permit() && self.quotas.admit_unconfirmed(received, draw) {
@@ -148,8 +149,7 @@
         self.reject(&pending.received.request);
     }
 
-    /// Returns the tokens of a request whose wait for one of this gateway's own permits has ended without
-    /// one.
+    /// Returns the tokens of a request that stopped waiting for a local permit without getting one.
     fn cancel_waiting(&mut self, pending: &PendingRequest) {
         let received = &pending.received;
         if pending.awaits_permit() && self.quotas.has_local_permits(received.account) {
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Forwards a request that its quota covers, if this gateway's own permits, the hard limit, the load
-    /// shedder and the endpoints allow it.
+    /// Forwards a request with a quota grant if a local permit, the hard limit, the load shedder and the
+    /// endpoints allow it.
     fn admit(&mut self, received: ReceivedRequest, grant: QuotaGrant) {
         let hard_limit_cost = match self.quotas.check_locally(&received, grant) {
             LocalCheck::Passed { hard_limit_cost } => hard_limit_cost,
@@ -206,9 +206,8 @@
         self.context.reject(request.id, retry_after);
     }
 
-    /// The client of a request has disconnected.
     pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
-        if let Some(pending) = self.requests.remove_pending_request(id) {
+        if let Some(pending) = self.requests.remove_pending_by_request_id(id) {
             return self.cancel_waiting(&pending);
         }
         let Some(request) = self.requests.in_flight_mut(id) else {
@@ -216,13 +215,12 @@
         };
         request.client_disconnected = true;
         let received = &request.received;
-        if !received.is_in_time(self.context.now) {
+        if !received.meets_latency_objective(self.context.now) {
             self.forwarding
                 .record(received.tier, RequestOutcome::Unserved, &self.context);
         }
     }
 
-    /// An attempt has ended.
     pub(crate) fn on_attempt_finished(&mut self, outcome: &AttemptOutcome) {
         let id = outcome.request;
         let request = self.requests.in_flight_mut(id);
@@ -258,19 +256,19 @@
             self.forwarding
                 .record(received.tier, outcome, &self.context);
         }
-        match end.answer {
-            FinalAnswer::None => {}
-            FinalAnswer::Reject => self.reject(&received.request),
-            FinalAnswer::Fail => self.context.fail(id),
+        match end.response {
+            FinalResponse::None => {}
+            FinalResponse::Reject => self.reject(&received.request),
+            FinalResponse::Fail => self.context.fail(id),
         }
     }
 
-    /// Admits the next request that waits for the permit of one that has ended.
+    /// Reuses the permit of a finished request for the tenant's next waiting request.
     fn reuse_permit(&mut self, account: AccountId, grant: QuotaGrant) {
         match self.quotas.end_request(account, grant) {
             FreedPermit::None => {}
             FreedPermit::Local => {
-                if let Some(next) = self.requests.remove_oldest_for_permit(account.tenant) {
+                if let Some(next) = self.requests.remove_oldest_awaiting_permit(account.tenant) {
                     let grant = next.grant_with_local_permit(self.settings.gateway);
                     self.admit(next.received, grant);
                 }
@@ -279,8 +277,9 @@
         }
     }
 
-    /// Transfers a shared permit to the tenant's next request at this gateway, since each message to the
-    /// owner would leave it unused for a while. Releases it if no request waits.
+    /// Transfers a shared permit to the tenant's next request at this gateway, or releases it if no request
+    /// waits. Releasing it and asking the owner again would leave the permit unused for the duration of the
+    /// message exchange.
     fn transfer_permit(&mut self, account: AccountId, permit: QuotaRequestId) {
         let Some(next) = self.requests.remove_oldest(account.tenant) else {
             return self.settle(Settlement::of_permit(account, permit));
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -46,7 +46,10 @@
 
     /// Renews the lease of a permit, if a request in flight still uses it.
     pub(super) fn renew_permit(&mut self, permit: QuotaRequestId) {
-        let Some(holder) = self.requests.permit_holder_due(permit, self.context.now) else {
+        let Some(holder) = self
+            .requests
+            .permit_holder_due_for_renewal(permit, self.context.now)
+        else {
             return;
         };
         let account = holder.received.account;
@@ -97,7 +100,9 @@
                 self.admit(received, QuotaGrant::Granted(id));
             }
             QuotaDecision::Denied => self.reject(&pending.received.request),
-            QuotaDecision::Queued => self.requests.wait(pending.on_queued(), &mut self.context),
+            QuotaDecision::Queued => self
+                .requests
+                .insert_pending(pending.on_queued(), &mut self.context),
         }
     }
 
@@ -113,7 +118,7 @@
         let QuotaDecision::Granted { cost: tokens } = decision else {
             return;
         };
-        match self.requests.confirm(id) {
+        match self.requests.apply_late_grant(id) {
             LateGrant::Confirms => {
                 schedule_renewal(id, &mut self.context);
             }
--- a/src/decisions/requests/mod.rs
+++ b/src/decisions/requests/mod.rs
@@ -1,5 +1,5 @@
-//! The requests that a gateway is responsible for: those that wait for their quota, and those that are in
-//! flight.
+//! The requests that a gateway is processing: pending requests, which wait for a quota grant or a permit, and
+//! requests in flight.
 
 mod in_flight;
 mod pending;
--- a/src/decisions/requests/pending.rs
+++ b/src/decisions/requests/pending.rs
@@ -1,55 +1,58 @@
-//! Requests that are not forwarded yet, and the grants on which they are forwarded.
+//! Requests that have not been forwarded yet, and the quota grants that let them be forwarded.
 
 use super::ReceivedRequest;
 use crate::decisions::gossip::QuotaRequestId;
 use crate::events::GatewayId;
 use crate::units::{Milliseconds, Timestamp};
 
-/// A request that waits for its quota or for a permit.
+/// A request that waits for a quota grant or a permit.
 pub(crate) struct PendingRequest {
     pub received: ReceivedRequest,
     pub state: WaitState,
-    /// When the wait ends, and the timer of the request fires.
+    /// The end of the wait, when the timer of the request fires.
     pub waits_until: Timestamp,
 }
 
-/// What a request waits for.
+/// What a pending request is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WaitState {
-    /// The owner has been asked, and its response is awaited.
+    /// A quota request has been sent to the owner and its response is outstanding.
     AwaitingOwner,
-    /// The owner has been asked again, since the first message or the response to it was lost.
+    /// The quota request has been sent again, because it or the response was probably lost.
     AwaitingOwnerAgain,
-    /// The owner has put the request into its queue for a permit.
+    /// The owner has queued the request until a permit is free.
     QueuedByOwner,
-    /// All permits of this gateway's own are in use. The request has its tokens already.
+    /// All local permits of this gateway are in use. The request already has its tokens.
     AwaitingLocalPermit { grant: QuotaGrant },
 }
 
-/// What a request is forwarded on.
+/// The basis on which a request is forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QuotaGrant {
-    /// Nothing that the owner has confirmed: its response did not come in time.
+    /// No confirmation by the owner: its response did not arrive in time.
     Unconfirmed {
-        /// Whether the request has waited for a permit of this gateway's own since. Only then are its tokens
-        /// returned if it is rejected after all.
+        /// Whether the request has waited for a local permit since. Only then are its tokens returned if it
+        /// is rejected later.
         waited_for_permit: bool,
     },
-    /// Tokens that the owner granted in advance.
+    /// Tokens that the owner granted in advance of the request.
     Prefetched,
-    /// The owner's grant of this request, and its permit where the gateways of the shard share the permits.
+    /// The owner's grant for this request. It includes a permit if the gateways of the shard share the
+    /// permits.
     Granted(QuotaRequestId),
-    /// The permit of an earlier request of the tenant, which has ended. The tokens were settled as used.
+    /// The permit of an earlier, finished request of the tenant. The tokens of this request were settled as
+    /// used.
     InheritedPermit(QuotaRequestId),
 }
 
 impl QuotaGrant {
-    /// The owner's response did not come in time.
+    /// No response by the owner, and no wait for a local permit.
     pub(crate) const UNCONFIRMED: QuotaGrant = QuotaGrant::Unconfirmed {
         waited_for_permit: false,
     };
 
-    /// The request under whose number the owner has leased the permit.
+    /// Returns the number of the quota request for which the owner leased the permit, or `None` without such
+    /// a lease.
     pub(crate) fn permit(self) -> Option<QuotaRequestId> {
         match self {
             QuotaGrant::Granted(permit) | QuotaGrant::InheritedPermit(permit) => Some(permit),
@@ -57,17 +60,17 @@
         }
     }
 
-    /// Whether the owner has granted the tokens of this request.
+    /// Returns whether the owner has granted the tokens of this request.
     pub(crate) fn covers_cost(self) -> bool {
         matches!(self, QuotaGrant::Granted(_) | QuotaGrant::Prefetched)
     }
 
-    /// Whether the tokens are returned if the request is rejected after all.
+    /// Returns whether the tokens are returned if the request is rejected after all.
     pub(crate) fn is_returned_on_rejection(self) -> bool {
         self != QuotaGrant::UNCONFIRMED
     }
 
-    /// The same grant after the request has waited for a permit of this gateway's own.
+    /// Marks an unconfirmed grant as having waited for a local permit.
     fn after_permit_wait(self) -> QuotaGrant {
         match self {
             QuotaGrant::Unconfirmed { .. } => QuotaGrant::Unconfirmed {
@@ -79,8 +82,8 @@
 }
 
 impl PendingRequest {
-    /// A request that has just arrived and waits for the owner's response. Without gossip there is none to
-    /// wait for.
+    /// Creates a request that waits for the first response of the owner. Without gossip no response can
+    /// arrive, so the wait ends at once.
     pub(crate) fn awaiting_owner(
         received: ReceivedRequest,
         gossip_enabled: bool,
@@ -97,9 +100,11 @@
         }
     }
 
-    /// A request that was sent to the owner again. It waits as long for the second response as for the first.
+    /// Restarts the wait after the quota request has been sent again. The second wait is as long as the
+    /// first.
     pub(crate) fn awaiting_owner_again(self) -> PendingRequest {
-        // In one operation: the sum of the time and the duration of the first wait would round differently.
+        // Computed in one operation, because adding the duration of the first wait to the current time would
+        // round differently.
         let arrived_at = self.received.arrived_at.as_f64();
         let waits_until = Timestamp(2.0 * self.waits_until.as_f64() - arrived_at);
         PendingRequest {
@@ -109,7 +114,7 @@
         }
     }
 
-    /// A request in the owner's queue for a permit.
+    /// Creates a request that waits in the owner's permit queue until its wait deadline.
     pub(crate) fn queued_by_owner(received: ReceivedRequest) -> PendingRequest {
         PendingRequest {
             waits_until: received.wait_deadline,
@@ -118,8 +123,8 @@
         }
     }
 
-    /// The request after the owner has responded that it is in the queue. A request that has its tokens
-    /// already goes on waiting for a permit of this gateway's own: the response was overtaken by the grant.
+    /// Updates the request after the owner has responded that it is queued. If the request already has its
+    /// tokens, a later grant overtook this response, and it keeps waiting for a local permit.
     pub(crate) fn on_queued(self) -> PendingRequest {
         match self.state {
             WaitState::AwaitingLocalPermit { grant } => {
@@ -129,7 +134,7 @@
         }
     }
 
-    /// A request that waits for a permit of this gateway's own.
+    /// Creates a request that waits for a local permit until its wait deadline.
     pub(crate) fn awaiting_local_permit(
         received: ReceivedRequest,
         grant: QuotaGrant,
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Whether the request waits for a permit, be it the owner's or this gateway's own.
+    /// Returns whether the request waits for a permit of the owner or a local permit.
     pub(crate) fn awaits_permit(&self) -> bool {
         matches!(
             self.state,
@@ -150,7 +155,7 @@
         )
     }
 
-    /// The permit that the owner has leased to the request, if it waits with one.
+    /// Returns the permit that the owner has leased to a request that waits for a local permit.
     pub(crate) fn leased_permit(&self) -> Option<QuotaRequestId> {
         match self.state {
             WaitState::AwaitingLocalPermit { grant } => grant.permit(),
@@ -158,11 +163,11 @@
         }
     }
 
-    /// What the request is forwarded on once this gateway has a permit of its own for it.
+    /// Returns the grant with which the request is forwarded after it has received a local permit.
     pub(crate) fn grant_with_local_permit(&self, gateway: GatewayId) -> QuotaGrant {
         match self.state {
             WaitState::AwaitingLocalPermit { grant } => grant,
-            // The shard has become smaller meanwhile, so that its gateways no longer share the permits.
+            // The shard has shrunk since the request was queued, and its gateways no longer share permits.
             WaitState::QueuedByOwner if self.received.account.owner == gateway => {
                 QuotaGrant::Granted(self.received.quota_request)
             }
--- a/src/decisions/requests/received.rs
+++ b/src/decisions/requests/received.rs
@@ -1,4 +1,4 @@
-//! What is known of a request from its arrival on, and the durations that it may wait.
+//! A received request with its deadlines and the time that it may wait.
 
 use crate::decisions::account::AccountId;
 use crate::decisions::gossip::QuotaRequestId;
@@ -7,32 +7,31 @@
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp};
 
-/// The fraction of its latency objective for which a request may wait for a permit.
+/// The fraction of the latency objective that a request may spend waiting for a permit.
 const MAX_WAIT_FRACTION: f64 = 0.5;
-/// The fraction of the time until the client's deadline for which a request may wait. A client's retry may
-/// have little of it left.
+/// The fraction of the time until the client's deadline that a request may spend waiting. The deadline of a
+/// client's retry may be close.
 const MAX_CLIENT_WAIT_FRACTION: f64 = 0.5;
-/// The fraction of the latency objective after which an owner that has not responded is considered
-/// unavailable.
+/// The fraction of the latency objective after which an owner that has not responded counts as unavailable.
 const OWNER_TIMEOUT_FRACTION: f64 = 0.3;
 
-/// A request with what was determined on its arrival.
+/// A request with its account, tier and deadlines, which are determined on arrival.
 pub(crate) struct ReceivedRequest {
     pub request: Request,
     pub account: AccountId,
     pub tier: PriorityTier,
     pub arrived_at: Timestamp,
-    /// The number under which the owner knows the request.
+    /// The number that identifies the request to the quota owner.
     pub quota_request: QuotaRequestId,
-    /// Until when the request may wait for the owner and for a permit.
+    /// The latest time until which the request may wait for the owner and for a permit.
     pub wait_deadline: Timestamp,
-    /// Until when an answer is of use.
-    pub useful_until: Timestamp,
+    /// The deadline of attempts: a later response has no value to the client.
+    pub attempt_deadline: Timestamp,
     latency_objective: Milliseconds,
 }
 
 impl ReceivedRequest {
-    /// A request that has arrived now.
+    /// Determines the account and the deadlines of a request that arrives at `now`.
     pub(crate) fn new(
         request: Request,
         tier: PriorityTier,
@@ -46,9 +45,10 @@
         let client_wait =
             (client_deadline - now).max(Milliseconds::ZERO) * MAX_CLIENT_WAIT_FRACTION;
         let max_wait = (latency_objective * MAX_WAIT_FRACTION).min(client_wait);
-        // A late answer that has no value is not waited for, and its absence is not counted as a failure.
-        let late_answers_count = class.late_answer_weight > 0.0;
-        let useful_until = if late_answers_count {
+        // Responses after the latency objective may have no value for the class. Attempts then end at the
+        // objective, and no failure is counted for a missing late response.
+        let late_answers_have_value = class.late_answer_weight > 0.0;
+        let attempt_deadline = if late_answers_have_value {
             client_deadline
         } else {
             client_deadline.min(now + latency_objective)
@@ -60,24 +60,24 @@
             arrived_at: now,
             quota_request,
             wait_deadline: now + max_wait,
-            useful_until,
+            attempt_deadline,
             latency_objective,
         }
     }
 
-    /// When the latency objective of the request ends, or its client stops waiting if that is earlier.
+    /// Returns the end of the latency objective or the client deadline, whichever is earlier.
     pub(crate) fn objective_deadline(&self) -> Timestamp {
         let objective_ends_at = self.arrived_at + self.latency_objective;
         objective_ends_at.min(self.request.client_deadline)
     }
 
-    /// Whether an answer now is within the latency objective.
-    pub(crate) fn is_in_time(&self, now: Timestamp) -> bool {
+    /// Returns whether a response at `now` meets the latency objective.
+    pub(crate) fn meets_latency_objective(&self, now: Timestamp) -> bool {
         now - self.arrived_at <= self.latency_objective
     }
 
-    /// How long the request waits for the owner's response before it is sent again. Half of the time that the
-    /// owner has is for the request that is sent again.
+    /// Returns how long to wait for the owner's response before sending the quota request again. It is half
+    /// of the time allowed to the owner; the other half is for the second attempt.
     pub(crate) fn response_timeout(&self) -> Milliseconds {
         let max_wait = self.wait_deadline - self.arrived_at;
         let owner_timeout = self.latency_objective * OWNER_TIMEOUT_FRACTION;
--- a/src/decisions/requests/table.rs
+++ b/src/decisions/requests/table.rs
@@ -1,4 +1,4 @@
-//! The table of the requests of one gateway.
+//! Storage for the pending requests and the requests in flight of one gateway.
 
 use super::{InFlightRequest, PendingRequest, QuotaGrant, ReceivedRequest};
 use crate::decisions::context::EventContext;
@@ -8,21 +8,21 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// Timers may fire early by this much.
+/// The tolerance for timers that fire early.
 const TIMER_TOLERANCE: Milliseconds = Milliseconds(0.1);
 
-/// What a grant is used for that arrives after the wait for it has ended.
+/// The effect of a grant that arrives when no pending request waits for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LateGrant {
-    /// It confirms a request that was forwarded without it.
+    /// It confirms a request that was forwarded without a grant.
     Confirms,
-    /// It repeats the grant on which a request was forwarded.
+    /// It duplicates the grant with which a request was forwarded.
     Repeated,
-    /// No request uses it.
+    /// No request in flight can use it.
     Unused,
 }
 
-/// Pending requests by the number of their quota request, and requests in flight by their own id.
+/// Pending requests by quota request number, and requests in flight by client request id.
 pub(crate) struct RequestTable {
     last_id: QuotaRequestId,
     pending: BTreeMap<QuotaRequestId, PendingRequest>,
@@ -30,7 +30,7 @@
 }
 
 impl RequestTable {
-    /// An empty table. Quota requests get the numbers after this one.
+    /// Creates an empty table. Quota requests are numbered from the one after `last_id`.
     pub(crate) fn with_last_id(last_id: QuotaRequestId) -> RequestTable {
         RequestTable {
             last_id,
@@ -39,22 +39,22 @@
         }
     }
 
-    /// The number of the next quota request.
+    /// Allocates the number of the next quota request.
     pub(crate) fn next_id(&mut self) -> QuotaRequestId {
         self.last_id.0 += 1;
         self.last_id
     }
 
-    /// Adds a request that waits, and sets the timer for the end of its wait.
-    pub(crate) fn wait(&mut self, pending: PendingRequest, context: &mut EventContext) {
+    /// Adds a pending request and sets the timer for the end of its wait.
+    pub(crate) fn insert_pending(&mut self, pending: PendingRequest, context: &mut EventContext) {
         let delay = (pending.waits_until - context.now).max(Milliseconds::ZERO);
         let id = pending.received.quota_request;
         context.set_request_timer(id, delay);
         self.pending.insert(id, pending);
     }
 
-    /// Lets a request wait for one of the permits that this gateway has of its own, if one is likely to be
-    /// free in time. Returns the request otherwise.
+    /// Queues a request for a local permit if one is likely to be free before its wait deadline. Otherwise
+    /// returns the request.
     pub(crate) fn wait_for_local_permit(
         &mut self,
         received: ReceivedRequest,
@@ -67,7 +67,7 @@
         if context.now + expected_wait > received.wait_deadline {
             return Some(received);
         }
-        self.wait(
+        self.insert_pending(
             PendingRequest::awaiting_local_permit(received, grant),
             context,
         );
@@ -81,12 +81,11 @@
             .count()
     }
 
-    /// Removes a pending request.
     pub(crate) fn remove_pending(&mut self, id: QuotaRequestId) -> Option<PendingRequest> {
         self.pending.remove(&id)
     }
 
-    /// Removes a pending request whose wait has ended.
+    /// Removes a pending request if its wait has ended.
     pub(crate) fn remove_expired(
         &mut self,
         id: QuotaRequestId,
@@ -100,18 +99,21 @@
         }
     }
 
-    /// Removes the pending request with this id of the client's request.
-    pub(crate) fn remove_pending_request(&mut self, id: RequestId) -> Option<PendingRequest> {
+    /// Removes a pending request by the id of the client's request.
+    pub(crate) fn remove_pending_by_request_id(&mut self, id: RequestId) -> Option<PendingRequest> {
         self.remove_first_pending(|pending| pending.received.request.id == id)
     }
 
-    /// Removes the oldest pending request of a tenant.
+    /// Removes the oldest pending request of a tenant, whatever it waits for.
     pub(crate) fn remove_oldest(&mut self, tenant: TenantKey) -> Option<PendingRequest> {
         self.remove_first_pending(|pending| pending.received.account.tenant == tenant)
     }
 
-    /// Removes the oldest request of a tenant that waits for a permit.
-    pub(crate) fn remove_oldest_for_permit(&mut self, tenant: TenantKey) -> Option<PendingRequest> {
+    /// Removes the oldest pending request of a tenant that waits for a permit.
+    pub(crate) fn remove_oldest_awaiting_permit(
+        &mut self,
+        tenant: TenantKey,
+    ) -> Option<PendingRequest> {
         self.remove_first_pending(|pending| awaits_permit_of(pending, tenant))
     }
 
@@ -123,7 +125,7 @@
         self.pending.remove(&id)
     }
 
-    /// Adds a request that is being forwarded.
+    /// Adds a request whose first attempt is about to start.
     pub(crate) fn insert_in_flight(
         &mut self,
         received: ReceivedRequest,
@@ -134,18 +136,16 @@
         entry.insert_entry(request).into_mut()
     }
 
-    /// A request in flight.
     pub(crate) fn in_flight(&self, id: RequestId) -> Option<&InFlightRequest> {
         self.in_flight.get(&id)
     }
 
-    /// A request in flight, for a change.
     pub(crate) fn in_flight_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest> {
         self.in_flight.get_mut(&id)
     }
 
-    /// Records the grant of a quota request that no pending request waits for.
-    pub(crate) fn confirm(&mut self, id: QuotaRequestId) -> LateGrant {
+    /// Handles a grant for which no pending request waits, and returns its effect.
+    pub(crate) fn apply_late_grant(&mut self, id: QuotaRequestId) -> LateGrant {
         let mut in_flight = self.in_flight.values_mut();
         let request = in_flight.find(|request| request.received.quota_request == id);
         match request {
@@ -158,8 +158,8 @@
         }
     }
 
-    /// The request in flight that uses a permit, if its lease is due for a renewal.
-    pub(crate) fn permit_holder_due(
+    /// Returns the request in flight that uses a permit if the permit's lease is due for renewal.
+    pub(crate) fn permit_holder_due_for_renewal(
         &mut self,
         permit: QuotaRequestId,
         now: Timestamp,
@@ -170,7 +170,6 @@
         })
     }
 
-    /// Removes a request in flight.
     pub(crate) fn remove_in_flight(&mut self, id: RequestId) -> Option<InFlightRequest> {
         self.in_flight.remove(&id)
     }
--- a/src/decisions/retries.rs
+++ b/src/decisions/retries.rs
@@ -1,20 +1,18 @@
-//! Retries: whether a request may be attempted again after an attempt has failed, on which endpoints, and
-//! how many retries the retry budget allows.
+//! Retry policy: whether and on which endpoints a failed request may be retried, limited by a retry budget.
 
 use crate::events::{AttemptResult, CellId, ClassIndex, ZoneId};
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass, Settings};
 use crate::units::Timestamp;
 use std::sync::Arc;
 
-/// The retries that each request adds to the budget. The budget keeps retries at a fraction of the
-/// requests, so that they cannot multiply an overload ("Handling Overload" in the SRE book).
+/// Retries that each request adds to the budget. The budget limits retries to this fraction of requests, so
+/// that they cannot amplify an overload ("Handling Overload" in the SRE book).
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// The most retries that are saved up in the budget.
+/// The most retries that the budget can accumulate.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// What one retry takes from the budget.
 const RETRY_COST: f64 = 1.0;
 
-/// An attempt that an endpoint may have executed.
+/// The location and start time of an attempt that an endpoint may have executed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PossibleExecution {
     pub zone: ZoneId,
@@ -22,16 +20,14 @@
     pub sent_at: Timestamp,
 }
 
-/// The endpoints on which a request may be attempted.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum RetryScope {
     Anywhere,
-    /// Those that discard a duplicate of a request that the endpoint of this attempt executed.
+    /// Endpoints within the deduplication scope of this possible execution. They discard duplicates of it.
     Within(DeduplicationScope, PossibleExecution),
 }
 
 impl RetryScope {
-    /// Whether endpoints of this zone and cell are in the scope.
     pub(crate) fn includes(&self, zone: ZoneId, cell: CellId) -> bool {
         match self {
             RetryScope::Within(DeduplicationScope::Zone, first) => zone == first.zone,
@@ -41,25 +37,25 @@
     }
 }
 
-/// Inputs to the decision on a retry, after an attempt has failed.
+/// The inputs of a retry decision after a failed attempt.
 #[derive(Debug)]
 pub(crate) struct FailedAttempt {
     pub class: ClassIndex,
-    /// The number of attempts of the request so far.
+    /// Attempts of the request so far, including the failed one.
     pub attempts: u32,
     pub result: AttemptResult,
-    /// The first attempt of the request that may have been executed.
+    /// The first attempt that may have been executed, if any.
     pub first_execution: Option<PossibleExecution>,
 }
 
-/// Decides on retries, within a retry budget.
+/// Decides whether failed requests are retried, within a retry budget.
 pub(crate) struct RetryPolicy {
     settings: Arc<Settings>,
     budget: RetryBudget,
 }
 
 impl RetryPolicy {
-    /// A policy whose budget is full.
+    /// Creates a policy with a full retry budget.
     pub(crate) fn new(settings: Arc<Settings>) -> RetryPolicy {
         RetryPolicy {
             settings,
@@ -67,18 +63,19 @@
         }
     }
 
-    /// Adds to the budget for a request that has arrived.
+    /// Credits the budget for a new request.
     pub(crate) fn request_arrived(&mut self) {
         self.budget.deposit(RETRIES_PER_REQUEST);
     }
 
-    /// Takes a retry from the budget.
+    /// Charges one retry to the budget.
     pub(crate) fn retry_started(&mut self) {
         self.budget.withdraw(RETRY_COST);
     }
 
-    /// Where a request may be attempted again after an attempt has failed. Returns `None` if it may not, or
-    /// if the budget does not allow it.
+    /// Returns the endpoints on which a request may be retried. Returns `None` if it has used all its
+    /// attempts, the budget is exhausted, the result is not retryable, or a retry could execute the request
+    /// twice.
     pub(crate) fn retry_scope(&self, failed: &FailedAttempt, now: Timestamp) -> Option<RetryScope> {
         let max_attempts = self.settings.max_attempts;
         let exhausted = max_attempts > 0 && failed.attempts >= max_attempts;
@@ -93,8 +90,8 @@
         }
     }
 
-    /// Whether a client may repeat a request of this class that an endpoint may have executed.
-    pub(crate) fn client_may_repeat(&self, class: ClassIndex) -> bool {
+    /// Returns whether a client may safely retry a request of this class that may have been executed.
+    pub(crate) fn client_may_retry(&self, class: ClassIndex) -> bool {
         matches!(
             self.settings.class(class).idempotency,
             Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All)
@@ -102,7 +99,7 @@
     }
 }
 
-/// Where a request of this class may be attempted again that may have been executed once.
+/// Returns the endpoints on which a request may be retried although it may have been executed once.
 fn deduplicated_scope(
     class: &RequestClass,
     first: PossibleExecution,
@@ -118,18 +115,18 @@
     }
 }
 
-/// Whether an attempt that ended like this may be followed by another.
+/// Returns whether an attempt with this result may be retried.
 fn is_retryable(result: AttemptResult) -> bool {
     !matches!(result, AttemptResult::Cancelled | AttemptResult::NeverSent)
 }
 
-/// Whether an attempt that ended like this may have been executed.
+/// Returns whether an endpoint may have executed an attempt with this result.
 pub(crate) fn may_have_executed(result: AttemptResult) -> bool {
     use AttemptResult::{ConnectFailed, NeverSent, Overloaded};
     !matches!(result, Overloaded | ConnectFailed | NeverSent)
 }
 
-/// The number of retries that may be made. Each request adds a fraction of a retry, and each retry takes one.
+/// A budget of retries: each request adds a fraction of a retry, and each retry takes one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     balance: f64,
@@ -137,7 +134,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that holds as many retries as the limit allows.
+    /// Creates a budget whose balance is at its limit.
     #[must_use]
     pub fn full(limit: f64) -> Self {
         RetryBudget {
@@ -146,18 +143,18 @@
         }
     }
 
-    /// The retries that are left; below zero if more were taken.
+    /// The number of retries left. It is negative if the budget is overdrawn.
     #[must_use]
     pub fn balance(&self) -> f64 {
         self.balance
     }
 
-    /// Adds retries, up to the limit.
+    /// Adds retries to the balance, up to the limit.
     pub fn deposit(&mut self, retries: f64) {
         self.balance = (self.balance + retries).min(self.limit);
     }
 
-    /// Takes retries.
+    /// Subtracts retries from the balance, which may become negative.
     pub fn withdraw(&mut self, retries: f64) {
         self.balance -= retries;
     }
