--- a/src/decisions/load_balancing/context.rs
+++ b/src/decisions/load_balancing/context.rs
@@ -1,4 +1,4 @@
-//! What the estimates and the choice of an endpoint take from the settings, computed once.
+//! Settings of the load balancer, and values derived from them once.
 
 use crate::decisions::fleet_scale::fleet_scale;
 use crate::events::ClassIndex;
@@ -6,21 +6,22 @@
 use crate::units::Milliseconds;
 use std::sync::Arc;
 
-/// The latency to expect at an endpoint may be this fraction of the latency objective, as latencies scatter
-/// widely around it. With many gateways, which can only guess at an endpoint's load, half as much again.
+/// The maximum expected latency of an endpoint with capacity, as a fraction of the latency objective. It is
+/// low because latencies scatter widely. It increases to 1.5 times this value in large fleets, where a
+/// gateway can only guess at an endpoint's load.
 const OBJECTIVE_FRACTION: f64 = 0.19;
-/// The number of peers that are assumed to load the endpoints as this gateway does. What one of hundreds of
-/// gateways has in flight says nothing about the load from the others.
+/// The maximum number of peers that are assumed to load the endpoints as this gateway does. In a fleet of
+/// hundreds, one gateway's attempts in flight say nothing about the load from the others.
 pub(super) const MAX_SIMILAR_PEERS: f64 = 3.0;
 
-/// The settings, and what follows from them.
+/// The settings and values derived from them.
 pub(super) struct ModelContext {
     pub settings: Arc<Settings>,
-    /// The number of other gateways that are assumed to load the endpoints as this one does.
+    /// The number of other gateways assumed to load the endpoints as this one does.
     pub similar_peers: f64,
-    /// How large the fleet of gateways is, from 0 (one gateway) to 1 (large).
+    /// The size of the gateway fleet, from 0 (one gateway) to 1 (large).
     pub fleet_scale: f64,
-    /// The fraction of a latency objective beyond which an idle endpoint seems to have no capacity.
+    /// The expected latency, as a fraction of the latency objective, up to which an endpoint has capacity.
     pub capacity_fraction: f64,
 }
 
@@ -34,12 +35,11 @@
         }
     }
 
-    /// The latency objective of a class.
     pub(super) fn latency_objective(&self, class: ClassIndex) -> Milliseconds {
         self.settings.class(class).latency_objective
     }
 
-    /// The expected latency up to which an endpoint has capacity for a first attempt of a class.
+    /// Returns the highest expected latency at which an endpoint has capacity for a first attempt of a class.
     pub(super) fn acceptable_latency(&self, class: ClassIndex) -> Milliseconds {
         self.latency_objective(class) * self.capacity_fraction
     }
--- a/src/decisions/load_balancing/endpoint.rs
+++ b/src/decisions/load_balancing/endpoint.rs
@@ -1,55 +1,56 @@
-//! The record of one endpoint: its entry on the endpoint list, the attempts in flight there, and what has
-//! been learned from its answers.
+//! The state of one endpoint: its list entry, the attempts in flight and the estimates learned from its
+//! responses.
 
 use crate::events::{CellId, ClassIndex, EndpointState, HardwareId, RequestId, ZoneId};
 use crate::statistics::{DecayingValue, TimeAveragedGauge, TimestampedSample};
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
-/// The time constant of the mean number of attempts in flight. It equals the window over which the demand of
-/// tenants is measured.
+/// The time constant of the mean number of attempts in flight. It equals the window over which tenant demand
+/// is measured.
 pub(super) const IN_FLIGHT_WINDOW: Milliseconds = Milliseconds(2000.0);
-/// The time constant with which failures are forgotten. Short, so that an endpoint that failed is tried
+/// The time constant with which the failure rate decays. It is short so that a failed endpoint is tried
 /// again.
 const FAILURE_WINDOW: Milliseconds = Milliseconds(4000.0);
 
-/// An attempt that this gateway has in flight at an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InFlightAttempt {
     pub class: ClassIndex,
     pub sent_at: Timestamp,
-    /// The requests estimated to be in flight at the endpoint, from all gateways, when the attempt
+    /// The estimated number of requests in flight at the endpoint, from all gateways, when the attempt
     /// started.
     pub load_at_start: f64,
 }
 
-/// What is known of one endpoint.
+/// The list entry, the attempts in flight and the estimates of one endpoint.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRecord {
     pub zone: ZoneId,
     pub cell: CellId,
-    /// Its registered weight, positive and finite.
+    /// The registered weight, corrected to be positive and finite.
     pub weight: f64,
     pub state: EndpointState,
     pub hardware: HardwareId,
-    /// When its present incarnation started; [`Timestamp::ZERO`] means long ago.
+    /// The start of the present incarnation; [`Timestamp::ZERO`] means long ago.
     pub started_at: Timestamp,
     pub last_attempt_at: Timestamp,
-    /// How long the endpoint takes to answer a request of average cost when it has no other, as learned
-    /// from its answers.
+    /// The estimated service time of a request of an average class without other load, learned from
+    /// responses.
     pub service_time: Option<Milliseconds>,
-    /// When the service time was last updated, also by a former incarnation; [`Timestamp::ZERO`] for never.
+    /// When the service time was last updated, including updates in an earlier incarnation;
+    /// [`Timestamp::ZERO`] if never.
     pub service_time_updated_at: Timestamp,
-    /// The requests from other gateways that it reported in flight.
-    pub reported_others: Option<TimestampedSample>,
-    /// This gateway's attempts there.
+    /// The requests in flight from other gateways, as reported by the endpoint.
+    pub reported_peer_load: Option<TimestampedSample>,
+    /// Attempts of this gateway, by request.
     in_flight: BTreeMap<RequestId, InFlightAttempt>,
     mean_in_flight: TimeAveragedGauge,
     failure_rate: DecayingValue,
 }
 
 impl EndpointRecord {
-    /// An endpoint that is new on the list. It counts as used now, so that it is not explored at once.
+    /// Creates the record of a newly listed endpoint. Its last attempt is set to `now`, so that it is not
+    /// explored at once.
     pub(super) fn new(
         hardware: HardwareId,
         started_at: Timestamp,
@@ -63,23 +64,23 @@
         }
     }
 
-    /// Whether this gateway has no attempt in flight at the endpoint.
+    /// Returns whether this gateway has no attempt in flight at the endpoint.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// The number of this gateway's attempts in flight.
+    /// Returns the number of this gateway's attempts in flight.
     pub(super) fn in_flight_count(&self) -> f64 {
         self.in_flight.len() as f64
     }
 
-    /// The mean over time of this gateway's attempts in flight.
+    /// Returns the time-averaged number of this gateway's attempts in flight.
     pub(super) fn mean_in_flight(&self, now: Timestamp) -> f64 {
         let level = self.in_flight_count();
         self.mean_in_flight.mean(level, now, IN_FLIGHT_WINDOW)
     }
 
-    /// When the oldest attempt in flight was sent; now if there is none.
+    /// Returns when the oldest attempt in flight was sent, or `now` if there is none.
     pub(super) fn oldest_sent_at(&self, now: Timestamp) -> Timestamp {
         let attempts = self.in_flight.values();
         attempts
@@ -87,7 +88,6 @@
             .fold(now, Timestamp::min)
     }
 
-    /// Counts an attempt as in flight.
     pub(super) fn attempt_started(
         &mut self,
         request: RequestId,
@@ -106,7 +106,7 @@
         self.in_flight.insert(request, attempt);
     }
 
-    /// Takes an attempt out of those in flight, if it is one of them.
+    /// Removes and returns an attempt. Returns `None` if it is not in flight.
     pub(super) fn attempt_finished(
         &mut self,
         request: RequestId,
@@ -118,13 +118,12 @@
         Some(attempt)
     }
 
-    /// The failure rate: the decaying average of the values that [`EndpointRecord::set_failure_rate`] was
-    /// given.
+    /// Returns the failure rate, decayed from the value that was set last.
     pub(super) fn failure_rate(&self, now: Timestamp) -> f64 {
         self.failure_rate.at(now, FAILURE_WINDOW)
     }
 
-    /// When the failure rate was last updated; [`Timestamp::ZERO`] for never.
+    /// Returns when the failure rate was last updated; [`Timestamp::ZERO`] if never.
     pub(super) fn failure_rate_updated_at(&self) -> Timestamp {
         self.failure_rate.updated_at()
     }
@@ -133,11 +132,11 @@
         self.failure_rate.set(rate, now);
     }
 
-    /// Clears what was learned of a former incarnation, which no longer holds.
-    pub(super) fn forget_incarnation(&mut self) {
+    /// Resets the estimates learned from an earlier incarnation, which no longer apply.
+    pub(super) fn reset_estimates(&mut self) {
         self.service_time = None;
         self.mean_in_flight.clear();
-        self.reported_others = None;
+        self.reported_peer_load = None;
         self.failure_rate.clear();
     }
 }
--- a/src/decisions/load_balancing/endpoint_table.rs
+++ b/src/decisions/load_balancing/endpoint_table.rs
@@ -1,20 +1,20 @@
-//! The endpoints that a gateway knows, as the endpoint lists give them.
+//! The endpoints known to a gateway, maintained from the endpoint lists of discovery.
 
 use super::endpoint::EndpointRecord;
 use crate::events::{Endpoint, EndpointListKind, EndpointName, EndpointState};
 use crate::units::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least weight of an endpoint, relative to the weights of others. One that is registered with weight 0
-/// still gets a few requests.
+/// The minimum relative weight of an endpoint. An endpoint registered with weight 0 still gets a few
+/// requests.
 const MIN_WEIGHT: f64 = 1e-3;
-/// The weight of an endpoint that is registered with an infinite one or with no number.
+/// The weight used in place of a registered weight that is infinite or NaN.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// An endpoint as a candidate for an attempt.
+/// The name and the record of an endpoint that an attempt may go to.
 pub(super) type Candidate<'a> = (&'a EndpointName, &'a EndpointRecord);
 
-/// The endpoints on the list, and removed ones that still have attempts in flight.
+/// The listed endpoints, and removed ones that still have attempts in flight.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     endpoints: BTreeMap<EndpointName, EndpointRecord>,
@@ -25,7 +25,7 @@
         self.endpoints.len()
     }
 
-    /// The endpoints that are ready, in the order of their names.
+    /// Returns the ready endpoints, ordered by name.
     pub(super) fn ready(&self) -> impl Iterator<Item = Candidate<'_>> {
         self.endpoints
             .iter()
@@ -36,7 +36,7 @@
         self.endpoints.get_mut(name)
     }
 
-    /// Applies an endpoint list.
+    /// Applies a snapshot or a delta. Drops removed endpoints without attempts in flight.
     pub(super) fn apply_list(
         &mut self,
         kind: EndpointListKind,
@@ -68,12 +68,12 @@
         let endpoint =
             entry.or_insert_with(|| EndpointRecord::new(listed.hardware, started_at, now));
         if started_at > endpoint.started_at {
-            endpoint.forget_incarnation();
+            endpoint.reset_estimates();
         }
         endpoint.started_at = started_at;
         endpoint.state = listed.state;
         endpoint.weight = valid_weight(listed.weight);
-        // The last location of a removed endpoint still says where its attempts may have been executed.
+        // A removed endpoint keeps its last location: it determines where its attempts may be retried.
         if listed.state != EndpointState::Removed {
             endpoint.zone = listed.zone;
             endpoint.cell = listed.cell;
--- a/src/decisions/load_balancing/mod.rs
+++ b/src/decisions/load_balancing/mod.rs
@@ -1,8 +1,8 @@
-//! Load balancing: which endpoint an attempt goes to.
+//! Load balancing: the choice of an endpoint for each attempt.
 //!
-//! [`LoadBalancer`] owns all that this gateway knows of the endpoints. It estimates the latency to expect
-//! from each endpoint from the outcomes of attempts (`learning.rs`, `estimates.rs`), and compares a few
-//! candidates in a weighted random order, those of the gateway's own subset first (`selection.rs`,
+//! [`LoadBalancer`] owns the state of all endpoints. It estimates the latency of each endpoint from the
+//! outcomes of attempts (`learning.rs`, `estimates.rs`). For each attempt it compares a few candidates in a
+//! weighted random order that starts with the gateway's own subset of endpoints (`selection.rs`,
 //! `subset.rs`). Endpoints that are warming up are chosen less often (`slow_start.rs`).
 
 mod context;
@@ -30,19 +30,19 @@
 use selection::{Attempt, AttemptKind, choose_endpoint};
 use std::sync::Arc;
 
-/// Inputs to the choice of an endpoint for a retry.
+/// The inputs for choosing the endpoint of a retry.
 #[derive(Debug)]
 pub(crate) struct RetryAttempt<'a> {
     pub class: ClassIndex,
-    /// The time that is left for an answer. An endpoint that is expected to take longer is not chosen.
+    /// The time left for a response. Endpoints with a higher expected latency are not chosen.
     pub remaining: Milliseconds,
-    /// The endpoints on which the request may be attempted again.
+    /// The endpoints on which a retry is safe.
     pub scope: RetryScope,
-    /// The endpoint of the attempt that failed, which is not chosen again.
+    /// The endpoint of the failed attempt, which is excluded.
     pub previous_endpoint: &'a EndpointName,
 }
 
-/// Chooses endpoints for attempts, and learns from the outcomes of the attempts.
+/// Chooses endpoints for attempts and updates its latency and failure estimates from their outcomes.
 pub(crate) struct LoadBalancer {
     context: ModelContext,
     endpoints: EndpointTable,
@@ -50,7 +50,7 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer that knows no endpoint yet.
+    /// Creates a load balancer without endpoints.
     pub(crate) fn new(settings: Arc<Settings>) -> LoadBalancer {
         LoadBalancer {
             fleet: FleetEstimates::new(&settings),
@@ -59,7 +59,6 @@
         }
     }
 
-    /// Applies an endpoint list.
     pub(crate) fn apply_list(
         &mut self,
         kind: EndpointListKind,
@@ -69,18 +68,18 @@
         self.endpoints.apply_list(kind, list, now);
     }
 
-    /// The number of endpoints on the list, and of removed ones that still have attempts in flight.
+    /// Returns the number of listed endpoints, including removed ones that still have attempts in flight.
     pub(crate) fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// The mean latency of answers over all endpoints and classes.
+    /// Mean latency of endpoint responses, over all endpoints and classes.
     pub(crate) fn mean_latency(&self) -> Milliseconds {
         self.fleet.mean_latency
     }
 
-    /// Chooses an endpoint for the first attempt of a request of this class. Returns `None` if no endpoint
-    /// has capacity for it.
+    /// Chooses an endpoint for the first attempt of a request. Returns `None` if no endpoint has capacity for
+    /// it.
     pub(crate) fn choose_for_first_attempt(
         &self,
         class: ClassIndex,
@@ -95,7 +94,8 @@
         choose_endpoint(&self.endpoints, &attempt, &self.estimator(now), rng)
     }
 
-    /// Chooses an endpoint for a retry. Returns `None` if no endpoint in the scope has capacity for it.
+    /// Chooses an endpoint for a retry. Returns `None` if no other endpoint in the scope is expected to
+    /// respond in the remaining time.
     pub(crate) fn choose_for_retry(
         &self,
         retry: &RetryAttempt,
@@ -113,7 +113,7 @@
         choose_endpoint(&self.endpoints, &attempt, &self.estimator(now), rng)
     }
 
-    /// Counts an attempt as in flight.
+    /// Adds an attempt to those in flight at an endpoint, with the estimated load at its start.
     pub(crate) fn attempt_started(
         &mut self,
         request: RequestId,
@@ -136,10 +136,9 @@
         endpoint.attempt_started(request, class, load_at_start, now);
     }
 
-    /// Takes an attempt out of those in flight and updates the estimates by its outcome. An attempt that is
-    /// not in flight updates nothing.
-    ///
-    /// Returns where and when the attempt may have been executed.
+    /// Removes an attempt from those in flight and updates the estimates from its outcome. Returns the
+    /// location and start time of the attempt. For an attempt that is not in flight, no estimate is updated
+    /// and `None` is returned.
     pub(crate) fn attempt_finished(
         &mut self,
         outcome: &AttemptOutcome,
--- a/src/decisions/load_balancing/selection.rs
+++ b/src/decisions/load_balancing/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint among candidates in a weighted random order.
+//! The choice of the endpoint with the lowest cost among candidates in a weighted random order.
 
 use super::context::MAX_SIMILAR_PEERS;
 use super::endpoint::EndpointRecord;
@@ -11,26 +11,27 @@
 use crate::units::Milliseconds;
 use rand::Rng;
 
-/// The least number of endpoints with capacity that are compared. One of few gateways knows the load of every
-/// endpoint and compares all of them. Many gateways that compared all would all choose the same few.
+/// The minimum number of endpoints with capacity that are compared. In a small fleet a gateway knows the load
+/// of every endpoint and compares all of them. In a large fleet, gateways that compared all endpoints would
+/// converge on the same few.
 const MIN_COMPARED: f64 = 2.0;
-/// The exploration interval: each gateway leaves an endpoint without capacity alone for this long before one
-/// attempt tries it again.
+/// How long an endpoint without capacity must have been unused before an attempt probes it, multiplied by the
+/// number of gateways.
 const EXPLORATION_INTERVAL: Milliseconds = Milliseconds(250.0);
-/// An endpoint in another zone counts as this many times slower.
+/// The cost factor of endpoints in other zones.
 const OTHER_ZONE_FACTOR: f64 = 1.05;
-/// Costs are increased at random by up to this fraction, so that gateways don't all choose the same endpoint.
+/// The maximum fraction by which costs are increased at random, so that gateways don't all choose the same
+/// endpoint.
 const JITTER: f64 = 0.1;
 
-/// An attempt that needs an endpoint.
+/// An attempt for which an endpoint is chosen.
 pub(super) struct Attempt<'a> {
     pub class: ClassIndex,
-    /// An endpoint that is expected to take longer has no capacity for the attempt.
+    /// The highest expected latency at which an endpoint has capacity for the attempt.
     pub max_latency: Milliseconds,
     pub kind: AttemptKind<'a>,
 }
 
-/// Whether an attempt is the first of its request.
 pub(super) enum AttemptKind<'a> {
     First,
     Retry {
@@ -44,7 +45,7 @@
         matches!(self.kind, AttemptKind::First)
     }
 
-    /// Whether the attempt may go to an endpoint, whatever its load.
+    /// Returns whether the retry constraints permit this endpoint, regardless of its load.
     fn permits(&self, candidate: &Candidate) -> bool {
         let (name, endpoint) = *candidate;
         match &self.kind {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Chooses an endpoint for an attempt, if there is one with capacity for it.
+/// Chooses an endpoint for an attempt. Returns `None` if no permitted endpoint has capacity for it.
 pub(super) fn choose_endpoint(
     endpoints: &EndpointTable,
     attempt: &Attempt,
@@ -74,7 +75,7 @@
     lowest_cost(candidates, attempt, estimator, rng).cloned()
 }
 
-/// Chooses the candidate of the lowest cost among the first ones that have capacity.
+/// Returns the candidate with the lowest cost among the first ones that have capacity.
 fn lowest_cost<'a>(
     candidates: Vec<Candidate<'a>>,
     attempt: &Attempt,
@@ -114,26 +115,26 @@
     known.max(MIN_COMPARED).min(count)
 }
 
-/// The number of chances follows from the overload that warming endpoints tolerate. A retry has one for
-/// each endpoint compared: a request that one warming endpoint rejected must not be tried at all of them in
-/// turn.
+/// Creates the slow-start limiter of an attempt. For a first attempt, the number of draws per endpoint is the
+/// overload multiple that warming endpoints tolerate. For a retry it is one, so that a request rejected by
+/// one warming endpoint is not tried at all the others in turn.
 fn slow_start_limiter(
     attempt: &Attempt,
     estimator: &Estimator,
     to_compare: f64,
 ) -> SlowStartLimiter {
     let overload_multiple = estimator.context.settings.warmup_overload_multiple;
-    let chances = if attempt.is_first() {
+    let draws_per_endpoint = if attempt.is_first() {
         overload_multiple.max(1.0)
     } else {
         1.0
     };
-    SlowStartLimiter::new(to_compare, chances)
+    SlowStartLimiter::new(to_compare, draws_per_endpoint)
 }
 
-/// Whether the attempt may test an endpoint that seems to have no capacity, since this gateway has sent
-/// nothing there lately and would otherwise learn nothing more of it. All gateways do so, so the interval
-/// grows with their number.
+/// Returns whether the attempt may probe an endpoint that seems to have no capacity. This gateway must have
+/// sent nothing there recently: it would otherwise get no new information about the endpoint. All gateways
+/// probe, so the interval is proportional to their number.
 fn may_explore(endpoint: &EndpointRecord, attempt: &Attempt, estimator: &Estimator) -> bool {
     let gateway_count = f64::from(estimator.context.settings.gateway_count);
     let unused_for = estimator.now - endpoint.last_attempt_at;
@@ -141,7 +142,8 @@
     attempt.is_first() && endpoint.is_idle() && is_due
 }
 
-/// The expected latency, and for excess failures a fraction of the latency objective.
+/// Returns the expected latency plus a penalty for excess failures, which is a fraction of the latency
+/// objective.
 fn cost(
     endpoint: &EndpointRecord,
     latency: Milliseconds,
--- a/src/decisions/load_balancing/slow_start.rs
+++ b/src/decisions/load_balancing/slow_start.rs
@@ -1,16 +1,18 @@
-//! Slow start: an endpoint that has just started has a fraction of its capacity and gets fewer requests.
+//! Slow start: an endpoint that has just started has only part of its capacity and gets fewer requests.
 
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp};
 use rand::Rng;
 
-/// An endpoint that is warming up gets this fraction of what its share of capacity would allow.
+/// The fraction of its proportional share of requests that an endpoint gets while warming up.
 const WARMING_UP_FRACTION: f64 = 0.9;
-/// How much of the missing capacity, times the guaranteed minimum, an endpoint is expected to have beyond
-/// that minimum. By the minimum alone it looks too slow until it is warm.
-const WARMUP_OPTIMISM: f64 = 0.6;
+/// The capacity that a warming endpoint is expected to have beyond the guaranteed minimum, as a fraction of
+/// the missing capacity times that minimum. Judged by the minimum alone, an endpoint looks too slow until it
+/// is warm.
+const EXPECTED_WARMUP_EXCESS: f64 = 0.6;
 
-/// The guaranteed minimum of the fraction of its capacity that an endpoint has by now.
+/// Returns the minimum fraction of its capacity that an endpoint is guaranteed to have at `now`: 1 without a
+/// warm-up duration or a start time, otherwise rising linearly from the initial warmth to 1.
 pub(super) fn warmup_fraction(started_at: Timestamp, settings: &Settings, now: Timestamp) -> f64 {
     let warmup = settings.warmup_duration;
     if started_at <= Timestamp::ZERO || warmup <= Milliseconds::ZERO {
@@ -20,40 +22,41 @@
     settings.initial_warmth + (1.0 - settings.initial_warmth) * progress
 }
 
-/// The fraction of its capacity that an endpoint is expected to have. The guaranteed minimum is too little
-/// for most endpoints. One of few gateways soon has answers of its own and needs no such guess.
+/// Returns the fraction of its capacity that an endpoint is expected to have. Most endpoints have more than
+/// the guaranteed minimum. The correction is smaller in small fleets, where a gateway soon has enough
+/// responses to estimate the latency instead.
 pub(super) fn expected_warmup_fraction(minimum: f64, fleet_scale: f64) -> f64 {
-    minimum + (1.0 - minimum) * WARMUP_OPTIMISM * fleet_scale * minimum
+    minimum + (1.0 - minimum) * EXPECTED_WARMUP_EXCESS * fleet_scale * minimum
 }
 
-/// Limits how often endpoints that are warming up are compared within one choice.
+/// Limits how many warming endpoints one choice compares.
 ///
-/// If each were compared whenever it is a candidate, it would get more than its fraction of a warm
-/// endpoint's share. And if nearly all endpoints are warming up, a chance for each would nearly always end
-/// with one of them, hence a limit on the chances.
+/// Each warming endpoint is compared with a low probability; otherwise it would get more than its fraction of
+/// a warm endpoint's share. The number of random draws is limited too: if nearly all endpoints are warming
+/// up, a draw for each of them would nearly always select one.
 pub(super) struct SlowStartLimiter {
-    chances_left: f64,
+    draws_left: f64,
     to_compare: f64,
 }
 
 impl SlowStartLimiter {
-    /// A limiter for a choice that compares `to_compare` endpoints, with `chances_per_endpoint` times as
-    /// many chances.
-    pub(super) fn new(to_compare: f64, chances_per_endpoint: f64) -> SlowStartLimiter {
+    /// Creates a limiter for a choice that compares `to_compare` endpoints. It allows `draws_per_endpoint`
+    /// times as many draws.
+    pub(super) fn new(to_compare: f64, draws_per_endpoint: f64) -> SlowStartLimiter {
         SlowStartLimiter {
-            chances_left: to_compare * chances_per_endpoint,
+            draws_left: to_compare * draws_per_endpoint,
             to_compare,
         }
     }
 
-    /// Whether an endpoint with this warm-up fraction may be compared. Always true of a warm one, without a
-    /// draw.
+    /// Returns whether an endpoint with this warm-up fraction may be compared. A warm endpoint always may,
+    /// and uses no random number.
     pub(super) fn permits(&mut self, warmup_fraction: f64, rng: &mut impl Rng) -> bool {
         if warmup_fraction >= 1.0 {
             return true;
         }
-        self.chances_left -= 1.0;
+        self.draws_left -= 1.0;
         let probability = WARMING_UP_FRACTION * warmup_fraction / self.to_compare;
-        self.chances_left >= 0.0 && rng.random::<f64>() < probability
+        self.draws_left >= 0.0 && rng.random::<f64>() < probability
     }
 }
--- a/src/decisions/load_shedding/mod.rs
+++ b/src/decisions/load_shedding/mod.rs
@@ -1,8 +1,8 @@
-//! Load shedding by priority tier.
+//! Adaptive load shedding by priority tier.
 //!
-//! Each gateway rejects a request at once with the probability max(0, (requests - K x accepts) / (requests +
-//! 1)), counted over a sliding window ("Handling Overload" in the SRE book, client-side throttling). A tier
-//! counts the failures of all higher tiers as its own, so that the lowest tier is shed first.
+//! Each gateway rejects a request with the probability max(0, (requests - K x accepts) / (requests + 1)),
+//! counted over a sliding window (client-side throttling, "Handling Overload" in the SRE book). Each tier
+//! also counts the failures of all higher tiers, so the lowest tier is shed first.
 
 mod priority_tiers;
 
@@ -15,36 +15,37 @@
 use rand::Rng;
 use std::sync::Arc;
 
-/// K: how many times the accepts may be forwarded. With a success rate under 1/K, all but the minimum is
-/// rejected.
+/// K, the multiple of the accepted requests that may be forwarded. At a success rate below 1/K, all requests
+/// but the guaranteed minimum are rejected.
 const ACCEPT_MULTIPLIER: f64 = 2.0;
-/// The sliding window. One of many gateways receives few requests, and a probability computed from a handful
-/// is noise, so a slot stays open until it holds a few or has become old.
+/// The sliding window of outcomes. One of many gateways receives few requests, and a probability computed
+/// from a handful of them is noise. A slot therefore stays open beyond `slot_duration` until it holds
+/// `min_slot_events` events or reaches `max_slot_duration`.
 const WINDOW: WindowShape = WindowShape {
     slots: 10,
     slot_duration: Milliseconds(300.0),
     min_slot_events: 4,
     max_slot_duration: Milliseconds(3000.0),
 };
-/// Each tier forwards this many requests a second for each endpoint, from all gateways together, whatever the
-/// probability, so that recovery is noticed. A minimum for each gateway would add up to an overload.
+/// Requests per second and endpoint that each tier forwards whatever the rejection probability, so that
+/// recovery is noticed. The rate is a total over all gateways: a minimum per gateway would add up to an
+/// overload.
 const MIN_FORWARDED_PER_SECOND: f64 = 0.15;
-/// A request value (class weight times plan weight) below this fraction of a tier's highest begins the next
-/// tier.
+/// A new tier begins at a request weight (class weight times plan weight) below this fraction of the previous
+/// tier's highest weight.
 const TIER_RATIO: f64 = 0.7;
 
-/// How a request ended, as load shedding counts it.
+/// The outcome of a request as counted by load shedding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// An endpoint answered it within the latency objective, if only with an error: there was capacity for
-    /// it.
+    /// An endpoint responded within the latency objective. An error response counts too, since it shows that
+    /// the endpoint had capacity.
     Accepted,
-    /// It was rejected or failed, or its latency objective passed before an answer.
+    /// The request was rejected or failed, or got no response within its latency objective.
     Unserved,
 }
 
 impl RequestOutcome {
-    /// Accepted if the condition holds.
     pub(crate) fn accepted_if(condition: bool) -> RequestOutcome {
         if condition {
             RequestOutcome::Accepted
@@ -54,24 +55,23 @@
     }
 }
 
-/// Whether load shedding lets a request through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SheddingDecision {
     Forward,
     Shed,
 }
 
-/// Sheds load by priority tier, by the recent outcomes of requests at this gateway.
+/// Rejects requests by priority tier, based on the recent outcomes at this gateway.
 pub(crate) struct LoadShedder {
     settings: Arc<Settings>,
     tiers: PriorityTiers,
     window: SlidingWindow,
-    /// By tier: when a request was last let through.
+    /// When a request of each tier was last forwarded.
     last_forwarded_at: Vec<Timestamp>,
 }
 
 impl LoadShedder {
-    /// A load shedder that has counted nothing yet.
+    /// Creates a load shedder with an empty window.
     pub(crate) fn new(settings: Arc<Settings>) -> LoadShedder {
         let tiers = PriorityTiers::by_weight_ratio(request_weights(&settings), TIER_RATIO);
         LoadShedder {
@@ -82,20 +82,21 @@
         }
     }
 
-    /// The tier of a class and plan, if the settings have both.
+    /// Returns the tier of a class and a plan, or `None` if the settings lack one of them.
     pub(crate) fn tier_of(&self, class: ClassIndex, plan: PlanIndex) -> Option<PriorityTier> {
         let class = self.settings.classes.get(class.0)?;
         let plan = self.settings.plans.get(plan.0)?;
         Some(self.tiers.tier_of(class.priority_weight * plan.weight))
     }
 
-    /// Counts the final outcome of a request.
+    /// Adds the final outcome of a request to the window.
     pub(crate) fn record(&mut self, tier: PriorityTier, outcome: RequestOutcome, now: Timestamp) {
         let accepted = outcome == RequestOutcome::Accepted;
         self.window.record(tier.0, accepted, now);
     }
 
-    /// Decides whether a request of this tier is shed.
+    /// Decides whether to shed a request of this tier. The decision is random, but a request is always
+    /// forwarded if the tier has forwarded none within the forwarding interval.
     pub(crate) fn decide(
         &mut self,
         tier: PriorityTier,
@@ -123,7 +124,7 @@
         ((requests - ACCEPT_MULTIPLIER * own.accepted) / (requests + 1.0)).max(0.0)
     }
 
-    /// The longest time between two requests of a tier that are let through.
+    /// Returns the longest time for which all requests of a tier may be shed.
     fn forwarding_interval(&self, endpoint_count: usize) -> Milliseconds {
         let gateway_count = f64::from(self.settings.gateway_count);
         let min_per_second = MIN_FORWARDED_PER_SECOND * endpoint_count as f64 / gateway_count;
@@ -131,7 +132,7 @@
     }
 }
 
-/// The values of requests of all classes and plans.
+/// Returns the weights of all combinations of class and plan.
 fn request_weights(settings: &Settings) -> Vec<f64> {
     let mut weights = Vec::new();
     for class in &settings.classes {
--- a/src/decisions/load_shedding/priority_tiers.rs
+++ b/src/decisions/load_shedding/priority_tiers.rs
@@ -1,18 +1,18 @@
-//! Priority tiers: groups of request values of similar size.
+//! Priority tiers, which group request weights of similar size.
 
-/// A tier of priority, counted from the highest, 0.
+/// The index of a priority tier. 0 is the highest priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PriorityTier(pub usize);
 
-/// Tiers of positive weights that differ by no more than a ratio: tier 0 begins at the highest weight, and
-/// the next tier at the first weight that is below `ratio` times the highest of the tier before.
+/// Tiers of positive weights. Tier 0 begins at the highest weight. Each further tier begins at the first
+/// weight below `ratio` times the highest weight of the tier before.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PriorityTiers {
     highest_weights: Vec<f64>,
 }
 
 impl PriorityTiers {
-    /// The tiers of these weights.
+    /// Groups weights into tiers. The weights may be in any order and contain duplicates.
     #[must_use]
     pub fn by_weight_ratio(mut weights: Vec<f64>, ratio: f64) -> Self {
         weights.sort_by(|a, b| b.total_cmp(a));
@@ -26,13 +26,13 @@
         PriorityTiers { highest_weights }
     }
 
-    /// The number of tiers, which is at least one.
+    /// Returns the number of tiers, which is at least one even without weights.
     #[must_use]
     pub fn count(&self) -> usize {
         self.highest_weights.len().max(1)
     }
 
-    /// The tier of one of the weights.
+    /// Returns the tier of one of the weights that the tiers were built from.
     #[must_use]
     pub fn tier_of(&self, weight: f64) -> PriorityTier {
         let mut highest_weights = self.highest_weights.iter();
