--- a/src/statistics/mod.rs
+++ b/src/statistics/mod.rs
@@ -1,8 +1,8 @@
 //! Generic estimators: decaying values, moving averages, a sliding window and a weighted random order.
 //!
-//! The types here only store and compute. They read no clock and hold no tuning constants: the
-//! caller passes the time, on a clock that only moves forward, together with the time constant or
-//! the weight. Choices that are made from the results belong to the caller.
+//! The types here only store and compute. They read no clock and define no tuning constants. The caller
+//! passes the time, which must not decrease, together with a time constant or a weight. Decisions based on
+//! the results are left to the caller.
 
 mod decay;
 mod moving_average;
--- a/src/statistics/ring.rs
+++ b/src/statistics/ring.rs
@@ -1,21 +1,21 @@
-//! Weighted random order of items, some of them preferred by their position on a ring.
+//! A weighted random order of items that prefers those on an arc of a ring.
 
 use rand::Rng;
 
-/// An arc of a ring whose whole length is 1.
+/// An arc of a ring of circumference 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RingArc {
-    /// Where it starts, from 0 to 1.
+    /// The start of the arc, from 0 to 1.
     pub start: f64,
-    /// Its length, from 0 to 1.
+    /// The length of the arc, from 0 to 1.
     pub length: f64,
 }
 
-/// The golden ratio less 1. The fractional parts of any range of its consecutive multiples are spread evenly over the
-/// ring.
-const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
+/// The golden ratio minus 1. The fractional parts of its consecutive multiples are spread evenly over the
+/// ring, for any range of multiples.
+const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
-/// An item, and what its position in the order depends on.
+/// An item with its sort keys.
 struct OrderedItem<T> {
     is_off_arc: bool,
     key: f64,
@@ -23,35 +23,35 @@
 }
 
 impl RingArc {
-    /// The arc of this number among arcs of this length. The starts of any range of consecutive
-    /// numbers are spread evenly over the ring.
+    /// Returns the arc with this number in a sequence of arcs of this length. The starts of consecutive arcs
+    /// are spread evenly over the ring, for any range of numbers.
     #[must_use]
     pub fn evenly_spaced(number: u32, length: f64) -> Self {
         RingArc {
-            start: (f64::from(number) * GOLDEN_RATIO).fract(),
+            start: (f64::from(number) * GOLDEN_RATIO_CONJUGATE).fract(),
             length,
         }
     }
 
-    /// The length that the segment `from..to` and the arc have in common. The arc may pass the end of
-    /// the ring.
+    /// Returns the length of the overlap of this arc with the segment `from..to`. The arc may wrap around the
+    /// end of the ring.
     #[must_use]
     pub fn overlap(&self, from: f64, to: f64) -> f64 {
         if self.length >= 1.0 {
             return to - from;
         }
         let end = self.start + self.length;
-        let overlap_in_turn =
+        let overlap_shifted_by =
             |shift: f64| (to.min(end - shift) - from.max(self.start - shift)).max(0.0);
-        overlap_in_turn(0.0) + overlap_in_turn(1.0)
+        overlap_shifted_by(0.0) + overlap_shifted_by(1.0)
     }
 
-    /// Puts items with positive weights into a weighted random order, those on the arc before all
+    /// Returns items with positive weights in a weighted random order, with all items on the arc before the
     /// others.
     ///
-    /// The items form the ring in the given order, each as long as its weight. The weight of an item
-    /// that overlaps the arc is the length of the overlap. One random number is used for each
-    /// item, in the given order.
+    /// The items form the ring in the given order, each with a length proportional to its weight. For an item
+    /// on the arc, the length of the overlap replaces the weight. One random number is drawn for each item,
+    /// in the given order.
     pub fn weighted_random_order<T: Copy>(&self, items: &[(T, f64)], rng: &mut impl Rng) -> Vec<T> {
         let total_weight = items.iter().fold(0.0, |sum, (_, weight)| sum + weight);
         let mut position = 0.0;
@@ -76,10 +76,10 @@
     }
 }
 
-/// A random sort key for an item of this weight: an exponential random number of the rate `weight`.
+/// Returns a random sort key for an item: an exponentially distributed number of rate `weight`.
 ///
-/// Sorted by such keys, each item comes first with a probability in proportion to its weight, and
-/// so on among the rest.
+/// When items are sorted by these keys, the probability of each item to come first is proportional to its
+/// weight. The same holds for the order of the remaining items.
 fn weighted_random_key(weight: f64, rng: &mut impl Rng) -> f64 {
     -(1.0 - rng.random::<f64>()).ln() / weight
 }
--- a/src/statistics/timestamped_sample.rs
+++ b/src/statistics/timestamped_sample.rs
@@ -1,4 +1,4 @@
-//! A sample that loses its weight as it ages.
+//! A sample whose weight decays with its age.
 
 use super::exponential_decay;
 use crate::units::{Milliseconds, Timestamp};
@@ -13,14 +13,14 @@
 }
 
 impl TimestampedSample {
-    /// A sample that was observed at this time.
+    /// Creates a sample of `value` at `observed_at`.
     #[must_use]
     pub fn new(value: f64, observed_at: Timestamp) -> Self {
         TimestampedSample { value, observed_at }
     }
 
-    /// The [weighted mean](TimestampedSample::weighted_mean) of a sample and a fallback value, or the
-    /// fallback value if there is no sample.
+    /// Returns the [weighted mean](TimestampedSample::weighted_mean) of the sample and the fallback value, or
+    /// the fallback value without a sample.
     #[must_use]
     pub fn estimate(
         sample: Option<Self>,
@@ -33,8 +33,8 @@
         })
     }
 
-    /// The mean of the sample and a fallback value. The sample's weight is 1 when it is new and decays
-    /// exponentially with its age; the rest of the weight belongs to the fallback value.
+    /// Returns the weighted mean of the sample and a fallback value. The weight of the sample is 1 at first
+    /// and decays exponentially with its age. The fallback value has the remaining weight.
     #[must_use]
     pub fn weighted_mean(&self, fallback: f64, now: Timestamp, time_constant: Milliseconds) -> f64 {
         let sample_weight = exponential_decay(now - self.observed_at, time_constant);
