--- a/src/bin/marlshelf-simulator-adapter/errors.rs
+++ b/src/bin/marlshelf-simulator-adapter/errors.rs
@@ -1,4 +1,4 @@
-//! Why the adapter ends with failure.
+//! The errors that end the adapter.
 
 use marlshelf::SettingsError;
 use std::io;
@@ -8,60 +8,60 @@
 /// An error that ends the adapter.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// The input cannot be read.
-    #[error("line {line_number}: cannot read the input: {error}")]
+    /// Reading the input failed, or the line is not UTF-8.
+    #[error("line {line_number}: cannot read input: {error}")]
     Read {
-        /// The number of the line that could not be read, from 1.
+        /// The number of the line, from 1.
         line_number: u64,
-        /// The cause.
+        /// The error of the read.
         error: io::Error,
     },
-    /// A line of the input is not a frame that can be acted on.
+    /// A line of the input could not be handled as a frame.
     #[error("line {line_number}: {error}")]
     Frame {
         /// The number of the line, from 1.
         line_number: u64,
-        /// What is wrong with the frame.
+        /// The reason.
         error: FrameError,
     },
-    /// The input has ended before the end of a batch.
-    #[error("line {line_number}: the input ends inside a batch")]
+    /// The input ended before the end of a batch.
+    #[error("line {line_number}: input ended inside a batch")]
     EndInsideBatch {
-        /// The number of the last line, from 1.
+        /// The number of the last line of the input, from 1.
         line_number: u64,
     },
-    /// The output cannot be written.
-    #[error("cannot write the output: {0}")]
+    /// Writing the output failed, usually because the simulator has closed it.
+    #[error("cannot write output: {0}")]
     Write(io::Error),
 }
 
-/// Why a frame cannot be acted on.
+/// The reason why a frame could not be handled.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The line is not JSON, or not a frame of a known kind with the fields of this kind.
+    /// The line is not valid JSON, or not a known kind of frame with its required fields.
     #[error("cannot parse the frame: {0}")]
     Malformed(serde_json::Error),
-    /// A batch begins before the last one has ended.
-    #[error("a batch begins inside a batch")]
+    /// A batch begins before the previous one has ended.
+    #[error("a batch began before the previous batch ended")]
     NestedBatch,
-    /// A frame other than the beginning of a batch comes between two batches.
-    #[error("a frame outside a batch")]
+    /// A frame other than the beginning of a batch arrives between two batches.
+    #[error("received a frame outside a batch")]
     OutsideBatch,
-    /// A gateway is to be started with settings that it cannot use.
+    /// The settings of an instance to start are invalid.
     #[error("cannot start {instance}: {error}")]
     Settings {
-        /// The name of the gateway.
+        /// The name of the instance.
         instance: Arc<str>,
-        /// What is wrong with the settings.
+        /// The first fault that validation has found.
         error: SettingsError,
     },
-    /// An event is for a gateway that has not been started, or has been stopped.
-    #[error("an event for {0}, which has not been started")]
+    /// The instance of an event has not been started, or has been stopped.
+    #[error("received a frame for {0}, which is not running")]
     UnknownInstance(Arc<str>),
-    /// A frame refers to an endpoint list that has not been sent.
-    #[error("there is no endpoint list with the number {0}")]
+    /// A frame refers to an endpoint list that has not been received.
+    #[error("unknown endpoint list {0}")]
     UnknownEndpointList(u32),
-    /// An action cannot be serialized.
-    #[error("cannot write an action: {0}")]
+    /// Serializing a reply failed.
+    #[error("cannot serialize a reply: {0}")]
     Reply(serde_json::Error),
 }
--- a/src/bin/marlshelf-simulator-adapter/frames.rs
+++ b/src/bin/marlshelf-simulator-adapter/frames.rs
@@ -1,7 +1,8 @@
-//! The frames that the simulator sends, as they are serialized.
+//! The input frames of the simulator protocol.
 //!
-//! Kinds and keys of the wire are the simulator's and appear only in the `rename` attributes here. Keys that are not
-//! known are skipped. Where a key has a default, the simulator omits it if the value is absent, zero or false.
+//! The simulator defines the kinds and keys of the protocol. Where they differ from the names used here, a
+//! `rename` attribute states them. Unknown keys are ignored. For keys with a default, the simulator omits a
+//! value that is absent, zero or false.
 //!
 //! Times are in milliseconds on the simulator's clock.
 
@@ -9,75 +10,75 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// The name of a gateway instance in the simulator.
+/// The simulator's name for a gateway instance.
 pub type InstanceName = Arc<str>;
 
 /// One line of the input.
 #[derive(Deserialize)]
 #[serde(tag = "kind")]
 pub enum Frame {
-    /// A batch begins.
+    /// Begins a batch.
     BeginBatch(BeginBatch),
-    /// The batch ends and must be answered.
+    /// Ends the batch, which requires a reply.
     #[serde(rename = "Eob")]
     EndBatch,
-    /// An endpoint list that frames of all instances may refer to by its number.
+    /// Defines a numbered endpoint list, to which later frames of all instances may refer.
     #[serde(rename = "Directory")]
     EndpointList(EndpointListFrame),
-    /// An instance starts without any state.
+    /// Starts an instance without any state.
     #[serde(rename = "Hello")]
     StartInstance(StartInstance),
-    /// An instance is killed.
+    /// Stops an instance and discards its state.
     #[serde(rename = "Retire")]
     StopInstance(InstanceFrame),
-    /// Discovery answers an instance.
+    /// Reports a discovery response for an instance.
     #[serde(rename = "DirectoryUpdate")]
     EndpointsChanged(EndpointsChanged),
-    /// A request arrives at an instance.
+    /// Reports a client request.
     #[serde(rename = "Incoming")]
     RequestReceived(RequestReceived),
-    /// A streamed answer has begun. Decisions do not depend on it.
+    /// Reports the start of a streamed response, which does not affect decisions.
     #[serde(rename = "Accepted")]
     StreamStarted(InstanceFrame),
-    /// A health check has finished.
+    /// Reports the result of a health check.
     #[serde(rename = "StatusBack")]
     HealthChecked(HealthChecked),
-    /// An attempt has ended.
+    /// Reports the end of an attempt.
     #[serde(rename = "Done")]
     AttemptFinished(AttemptFinished),
-    /// The client has left, or its answer is overdue.
+    /// Reports that the client has disconnected or stopped waiting.
     #[serde(rename = "Lapsed")]
     ClientDisconnected(ClientDisconnected),
-    /// A gossip message arrives.
+    /// Reports a gossip message from another gateway.
     #[serde(rename = "FromPeer")]
     GossipReceived(GossipReceived),
-    /// The shared counter answers. No instance calls it.
+    /// Reports a response of the shared counter, which no instance calls.
     #[serde(rename = "TallyBack")]
     CounterAnswered(InstanceFrame),
-    /// A timer fires.
+    /// Reports that a timer has fired.
     #[serde(rename = "Fired")]
     TimerFired(TimerFired),
 }
 
-/// The beginning of a batch.
+/// The content of a frame that begins a batch.
 #[derive(Deserialize, Clone, Copy)]
 pub struct BeginBatch {
-    /// The time at which everything in the batch happens.
+    /// The time of all events in the batch.
     #[serde(rename = "Clock")]
     pub now_ms: f64,
-    /// The number of the batch, which the reply repeats.
+    /// The number of the batch, repeated in the reply.
     #[serde(rename = "n")]
     pub number: u64,
 }
 
-/// A frame of which only the instance matters.
+/// The content of a frame of which only the instance is used.
 #[derive(Deserialize)]
 pub struct InstanceFrame {
     #[serde(rename = "GatekeeperId")]
     pub instance: InstanceName,
 }
 
-/// A numbered endpoint list. It replaces the former list with this number.
+/// A numbered endpoint list. It replaces an earlier list with the same number.
 #[derive(Deserialize)]
 pub struct EndpointListFrame {
     #[serde(rename = "Sheet")]
@@ -86,7 +87,6 @@
     pub entries: Vec<EndpointEntry>,
 }
 
-/// An entry of an endpoint list.
 #[derive(Deserialize)]
 pub struct EndpointEntry {
     #[serde(rename = "Worker")]
@@ -105,7 +105,7 @@
     pub started_at_ms: f64,
 }
 
-/// The state of an endpoint in a list.
+/// The state of an endpoint according to an endpoint list.
 #[derive(Deserialize, Clone, Copy)]
 pub enum EntryState {
     #[serde(rename = "up")]
@@ -116,55 +116,55 @@
     Removed,
 }
 
-/// The start of an instance.
+/// The name, seed and settings of an instance to start.
 #[derive(Deserialize)]
 pub struct StartInstance {
     #[serde(rename = "GatekeeperId")]
     pub instance: InstanceName,
     #[serde(rename = "Prng")]
     pub seed: u64,
-    /// Boxed since it is much larger than all other frames.
+    /// Boxed because it is much larger than all other frames.
     #[serde(rename = "Conf")]
     pub settings: Box<SettingsDocument>,
 }
 
-/// An answer of discovery.
+/// A discovery response for one instance.
 #[derive(Deserialize)]
 pub struct EndpointsChanged {
     #[serde(rename = "GatekeeperId")]
     pub instance: InstanceName,
     #[serde(rename = "Form")]
     pub form: EndpointListForm,
-    /// The number of the endpoint list. It has no meaning for an error.
+    /// The number of the endpoint list. It is meaningless for an error.
     #[serde(rename = "Sheet", default)]
     pub list: u32,
 }
 
-/// What discovery has answered.
+/// The kind of a discovery response.
 #[derive(Deserialize, Clone, Copy)]
 pub enum EndpointListForm {
-    /// The entries that have changed.
+    /// Only the entries that have changed.
     #[serde(rename = "diff")]
     Delta,
-    /// All entries.
     #[serde(rename = "snapshot")]
     Snapshot,
-    /// All entries as the instance had them before its start, possibly outdated.
+    /// All entries, as cached by the instance before its start and possibly outdated.
     #[serde(rename = "disk")]
     Cached,
-    /// The call has failed. The list that the instance has remains valid.
+    /// The discovery call failed. The current list of the instance remains valid.
     #[serde(rename = "error")]
     Error,
 }
 
-/// A request that arrives at an instance.
+/// A client request.
 #[derive(Deserialize)]
 pub struct RequestReceived {
     #[serde(rename = "GatekeeperId")]
     pub instance: InstanceName,
     #[serde(rename = "RequestId")]
     pub request: u64,
-    /// The first gateway of the tenant's shard.
+    /// The number of the first gateway in the tenant's shard. A whole number, which the simulator writes as a
+    /// float.
     #[serde(rename = "First", default)]
     pub shard_start: f64,
     #[serde(rename = "GiveUpAt")]
@@ -175,20 +175,19 @@
     pub class: usize,
     #[serde(rename = "ClientId", default)]
     pub tenant: Option<TenantName>,
-    /// A sum of bit values, among them [`RETRY_FLAG`].
+    /// A bit set that includes [`RETRY_FLAG`].
     #[serde(rename = "StateBits", default)]
     pub flags: u64,
     #[serde(rename = "Tier", default)]
     pub plan: usize,
-    /// The number of gateways in the tenant's shard.
+    /// The number of gateways in the tenant's shard. A whole number, which the simulator writes as a float.
     #[serde(rename = "Doors", default)]
     pub shard_size: f64,
 }
 
-/// The bit of [`RequestReceived::flags`] that marks a retry of the client.
+/// The bit of [`RequestReceived::flags`] that marks a client retry.
 pub const RETRY_FLAG: u64 = 2;
 
-/// The result of a health check.
 #[derive(Deserialize)]
 pub struct HealthChecked {
     #[serde(rename = "GatekeeperId")]
@@ -201,7 +200,6 @@
     pub load_report: Option<LoadReportFrame>,
 }
 
-/// The end of an attempt.
 #[derive(Deserialize)]
 pub struct AttemptFinished {
     #[serde(rename = "GatekeeperId")]
@@ -218,17 +216,17 @@
     pub latency_ms: f64,
     #[serde(rename = "Terminal", default)]
     pub request_ended: bool,
-    /// 1 more than the tenant's metered use in percent; 0 means that there is none.
+    /// The tenant's metered use in percent plus 1, or 0 if absent.
     #[serde(rename = "SeenUse", default)]
     pub metered_use_code: u32,
-    /// The actual cost in tokens; 0 means that it is not known.
+    /// The actual cost in tokens, or 0 if unknown.
     #[serde(rename = "Actual", default)]
     pub actual_cost: f64,
     #[serde(rename = "Usage", default)]
     pub load_report: Option<LoadReportFrame>,
 }
 
-/// How an attempt or a health check has ended.
+/// The result of an attempt or a health check.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     #[serde(rename = "OK")]
@@ -249,7 +247,7 @@
     NeverSent,
 }
 
-/// The load that an endpoint reports. A site chooses which values are present.
+/// The load reported by an endpoint. Which values are present depends on the site.
 #[derive(Deserialize)]
 pub struct LoadReportFrame {
     #[serde(rename = "outstanding")]
@@ -259,7 +257,7 @@
     pub requests_per_second: Option<f64>,
 }
 
-/// The end of a request whose client waits no longer.
+/// The disconnection of a request's client, or the end of its wait.
 #[derive(Deserialize)]
 pub struct ClientDisconnected {
     #[serde(rename = "GatekeeperId")]
@@ -268,7 +266,6 @@
     pub request: u64,
 }
 
-/// A gossip message from another gateway.
 #[derive(Deserialize)]
 pub struct GossipReceived {
     #[serde(rename = "GatekeeperId")]
@@ -279,7 +276,6 @@
     pub text: String,
 }
 
-/// A timer that fires.
 #[derive(Deserialize)]
 pub struct TimerFired {
     #[serde(rename = "GatekeeperId")]
--- a/src/bin/marlshelf-simulator-adapter/host.rs
+++ b/src/bin/marlshelf-simulator-adapter/host.rs
@@ -1,7 +1,7 @@
-//! The protocol of batches: which frames may come when, and which of them are answered.
+//! The batch protocol: the permitted order of frames, and the reply to each batch.
 //!
-//! Only the end of a batch is answered: with the actions of all its events, in the order of the events, and with the
-//! number of the batch.
+//! The reply to a batch consists of the actions of all its events, in the order of the events, followed by
+//! the batch number. It is written at the end of the batch.
 
 use crate::errors::FrameError;
 use crate::frames::{BeginBatch, EndpointEntry, EndpointsChanged, Frame};
@@ -11,31 +11,31 @@
 use marlshelf::{Endpoint, Event, Timestamp};
 use std::collections::BTreeMap;
 
-/// All instances of this process, and the batch that is being read.
+/// The instances of this process, the endpoint lists and the current batch.
 #[derive(Default)]
 pub struct Host {
     instances: Instances,
-    /// The endpoint lists that frames refer to, by number.
+    /// The received endpoint lists, by the number that frames refer to.
     endpoint_lists: BTreeMap<u32, Vec<EndpointEntry>>,
     batch: Option<Batch>,
 }
 
-/// A batch that has begun and not yet ended.
+/// A batch that has begun and has not ended.
 struct Batch {
     begin: BeginBatch,
-    /// The lines of the reply so far.
+    /// The lines of the reply so far, in JSON.
     output: Vec<u8>,
 }
 
 impl Host {
-    /// Whether every batch that has begun has been answered.
+    /// Returns whether no batch is open.
     pub fn is_between_batches(&self) -> bool {
         self.batch.is_none()
     }
 
-    /// Handles one line of the input. Returns the reply to the batch if the line ends it.
+    /// Handles one line of the input. Returns the reply if the line ends a batch.
     ///
-    /// After an error the host must not be used further, since the batch has been handled in part.
+    /// After an error the host must not be used any more, because part of the batch has been handled.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<Vec<u8>>, FrameError> {
         let frame: Frame = serde_json::from_str(line).map_err(FrameError::Malformed)?;
         let begins_batch = matches!(frame, Frame::BeginBatch(_));
@@ -51,7 +51,7 @@
             Frame::StartInstance(frame) => self.instances.start(frame)?,
             Frame::StopInstance(frame) => self.instances.stop(&frame.instance),
             Frame::StreamStarted(frame) | Frame::CounterAnswered(frame) => {
-                self.instances.require(&frame.instance)?;
+                self.instances.check_exists(&frame.instance)?;
             }
             Frame::EndpointsChanged(frame) => self.change_endpoints(frame)?,
             Frame::RequestReceived(frame) => self.handle_event(frame.into())?,
@@ -82,7 +82,7 @@
 
     fn change_endpoints(&mut self, frame: EndpointsChanged) -> Result<(), FrameError> {
         let Some(kind) = translation::endpoint_list_kind(frame.form) else {
-            return self.instances.require(&frame.instance);
+            return self.instances.check_exists(&frame.instance);
         };
         let entries = self
             .endpoint_lists
@@ -93,7 +93,7 @@
         self.handle_event(InstanceEvent::new(frame.instance, event))
     }
 
-    /// Hands an event to its instance at the time of the batch.
+    /// Passes an event to its instance, at the time of the batch.
     fn handle_event(&mut self, event: InstanceEvent) -> Result<(), FrameError> {
         let batch = self.batch.as_mut().ok_or(FrameError::OutsideBatch)?;
         let now = Timestamp(batch.begin.now_ms);
--- a/src/bin/marlshelf-simulator-adapter/instances.rs
+++ b/src/bin/marlshelf-simulator-adapter/instances.rs
@@ -1,4 +1,4 @@
-//! The gateway instances of this process. They share nothing with each other.
+//! The gateway instances of this process, which share no state.
 
 use crate::errors::FrameError;
 use crate::frames::{InstanceName, StartInstance};
@@ -6,14 +6,14 @@
 use marlshelf::{DecisionEngine, Timestamp};
 use std::collections::HashMap;
 
-/// The instances that have been started and not yet stopped.
+/// The running instances, by name.
 #[derive(Default)]
 pub struct Instances {
     engines: HashMap<InstanceName, DecisionEngine>,
 }
 
 impl Instances {
-    /// Starts an instance. One that has this name already is replaced.
+    /// Starts an instance, replacing any instance with the same name.
     pub fn start(&mut self, frame: StartInstance) -> Result<(), FrameError> {
         match DecisionEngine::new(frame.settings.settings(), frame.seed) {
             Ok(engine) => {
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Stops an instance and discards its state. It need not exist.
+    /// Stops an instance and discards its state. Does nothing if it does not exist.
     pub fn stop(&mut self, instance: &InstanceName) {
         self.engines.remove(instance);
     }
 
-    /// Checks that an instance exists, for frames that its decisions do not depend on.
-    pub fn require(&self, instance: &InstanceName) -> Result<(), FrameError> {
+    /// Returns an error if the instance does not exist. Used for frames that do not affect decisions.
+    pub fn check_exists(&self, instance: &InstanceName) -> Result<(), FrameError> {
         if self.engines.contains_key(instance) {
             Ok(())
         } else {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Hands an event to its instance and appends the resulting actions to the output of the batch.
+    /// Passes an event to its instance and appends the resulting actions to the reply.
     pub fn handle_event(
         &mut self,
         InstanceEvent { instance, event }: InstanceEvent,
--- a/src/bin/marlshelf-simulator-adapter/main.rs
+++ b/src/bin/marlshelf-simulator-adapter/main.rs
@@ -1,10 +1,12 @@
-//! Hosts many independent gateways inside a simulator.
+//! Runs many independent gateway instances for a simulator.
 //!
-//! Batches of events come in on standard input, one JSON frame per line, and the actions of the gateways go out on
-//! standard output. This program only translates: every decision is made by [`marlshelf::DecisionEngine`].
+//! The simulator writes batches of events to standard input, one JSON frame per line. The adapter writes the
+//! resulting gateway actions to standard output. It only translates: [`marlshelf::DecisionEngine`] makes
+//! every decision.
 //!
-//! It exits with success when the input ends between two batches. On any error it writes one line to standard error,
-//! unless its output is closed, and exits with failure; what it has read of the batch is then not answered.
+//! The exit status is success if the input ends between two batches. On an error the adapter exits with
+//! failure and does not reply to the current batch. It writes one line to standard error, unless the error is
+//! that its output is closed.
 
 mod errors;
 mod frames;
@@ -18,7 +20,8 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-/// The size of the output buffer, in bytes. A reply is written in few system calls, since it can have megabytes.
+/// The size of the output buffer. It is large because a reply may have megabytes and should take few system
+/// calls.
 const OUTPUT_BUFFER_BYTES: usize = 256 * 1024;
 
 fn main() -> ExitCode {
@@ -26,7 +29,7 @@
     let output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
     match run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        // The simulator has closed the output, so it has stopped on its own account.
+        // The simulator has closed the output, so it has ended and needs no error message.
         Err(AdapterError::Write(_)) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("marlshelf-simulator-adapter: {error}");
@@ -35,7 +38,7 @@
     }
 }
 
-/// Answers all batches of the input.
+/// Replies to all batches of the input.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = String::new();
--- a/src/bin/marlshelf-simulator-adapter/replies.rs
+++ b/src/bin/marlshelf-simulator-adapter/replies.rs
@@ -1,16 +1,16 @@
-//! The lines that the adapter answers with, as they are serialized.
+//! The output lines of the simulator protocol.
 //!
-//! Kinds and keys of the wire are the simulator's and appear only in the `rename` attributes here. The order of the
-//! fields is the order of the keys in the output.
+//! The simulator defines the kinds and keys of the protocol. Where they differ from the names used here, a
+//! `rename` attribute states them. The order of the fields is the order of the keys in the output.
 
 use crate::errors::FrameError;
 use serde::Serialize;
 
-/// One line of the output.
+/// An output line: an action of an instance, or the end of a reply.
 #[derive(Serialize)]
 #[serde(tag = "kind")]
 pub enum Reply<'a> {
-    /// Starts an attempt.
+    /// Forwards a request to an endpoint, which starts an attempt.
     #[serde(rename = "Deliver")]
     Forward {
         #[serde(rename = "GatekeeperId")]
@@ -32,7 +32,7 @@
         #[serde(rename = "Pause")]
         retry_after_ms: f64,
     },
-    /// Answers a request with a failure.
+    /// Fails a request.
     #[serde(rename = "Lose")]
     Fail {
         #[serde(rename = "GatekeeperId")]
@@ -62,14 +62,14 @@
     /// Ends the reply to a batch.
     #[serde(rename = "Ok")]
     EndBatch {
-        /// The number of the batch.
+        /// The number from the frame that began the batch.
         #[serde(rename = "n")]
         number: u64,
     },
 }
 
 impl Reply<'_> {
-    /// Appends this line to the output of a batch.
+    /// Appends this line and a line feed to the reply of a batch.
     pub fn append_to(&self, output: &mut Vec<u8>) -> Result<(), FrameError> {
         serde_json::to_writer(&mut *output, self).map_err(FrameError::Reply)?;
         output.push(b'\n');
--- a/src/bin/marlshelf-simulator-adapter/translation.rs
+++ b/src/bin/marlshelf-simulator-adapter/translation.rs
@@ -1,4 +1,4 @@
-//! Translation between the frames of the wire and the events and actions of the library.
+//! Translation between protocol frames and the library's events and actions.
 
 use crate::frames::{
     AttemptFinished, ClientDisconnected, EndpointEntry, EndpointListForm, EntryState,
@@ -12,20 +12,19 @@
     RequestId, TimerToken, Timestamp, Tokens, ZoneId,
 };
 
-/// An event of one instance.
+/// An event and the instance that handles it.
 pub struct InstanceEvent {
     pub instance: InstanceName,
     pub event: Event,
 }
 
 impl InstanceEvent {
-    /// An event of the instance with this name.
     pub fn new(instance: InstanceName, event: Event) -> InstanceEvent {
         InstanceEvent { instance, event }
     }
 }
 
-/// Which endpoints an answer of discovery contains. `None` if discovery has failed and sends no list.
+/// Returns which endpoints a discovery response contains, or `None` if the discovery call failed.
 pub fn endpoint_list_kind(form: EndpointListForm) -> Option<EndpointListKind> {
     match form {
         EndpointListForm::Delta => Some(EndpointListKind::Delta),
@@ -66,7 +65,7 @@
             class: ClassIndex(frame.class),
             plan: PlanIndex(frame.plan),
             cost: Tokens(frame.cost),
-            // The wire has these whole numbers as floats. The conversion saturates.
+            // The protocol encodes these whole numbers as floats. The conversion saturates.
             shard_start: GatewayId(frame.shard_start as u32),
             shard_size: frame.shard_size as u32,
             client_deadline: Timestamp(frame.client_deadline_ms),
@@ -93,7 +92,7 @@
     }
 }
 
-/// The metered use as a fraction, from its code on the wire: 1 more than the percentage, or 0 if there is none.
+/// Decodes the metered use as a fraction. The code is the percentage plus 1, or 0 if absent.
 fn metered_use(code: u32) -> Option<f64> {
     let percentage = code.checked_sub(1)?;
     Some(f64::from(percentage) / 100.0)
@@ -163,7 +162,7 @@
     }
 }
 
-/// The line that asks the simulator to carry out an action of an instance.
+/// Returns the output line for an action of an instance.
 pub fn reply<'a>(instance: &'a str, action: &'a Action) -> Reply<'a> {
     match action {
         Action::Forward {
--- a/tests/adapter/actions.rs
+++ b/tests/adapter/actions.rs
@@ -1,10 +1,10 @@
-//! The form of the actions that the adapter writes.
+//! Tests of the JSON form of the adapter's output lines.
 
 use crate::support::*;
 use serde_json::Value;
 
-/// A conversation in which the instances ask for every kind of action.
-fn conversation_with_every_action() -> Vec<String> {
+/// Returns input for which the instances produce every kind of action.
+fn input_for_every_action() -> Vec<String> {
     let gossiping = SETTINGS
         .replace(
             r#""Balancers":1"#,
@@ -19,10 +19,11 @@
             start_instance(0, SETTINGS),
             endpoints_changed(0, "disk"),
             request(0, 1),
-            // It knows no endpoint, so it can only reject.
+            // Without endpoints this instance rejects every request.
             start_instance(1, SETTINGS),
             request(1, 2),
-            // The tenant's quota owner is the other gateway, which it asks by gossip.
+            // One of these two gateways owns the tenant's quota. The other sends it a quota request by
+            // gossip.
             start_instance(2, &gossiping),
             start_instance(3, &peer),
             endpoints_changed(2, "disk"),
@@ -32,7 +33,7 @@
         ],
     );
     lines.extend(batch(2, [attempt_finished(1, "OK", r#","Terminal":true"#)]));
-    // The request must not run twice, and it may have run.
+    // A request that must not be executed twice fails after an error, because it may have been executed.
     lines.extend(batch(
         3,
         [
@@ -46,8 +47,8 @@
 }
 
 #[test]
-fn actions_have_the_keys_of_the_wire_in_a_fixed_order() {
-    let run = run_adapter(&conversation_with_every_action());
+fn output_lines_have_the_protocol_keys_in_a_fixed_order() {
+    let run = run_adapter(&input_for_every_action());
     assert!(run.success, "{}", run.errors);
     let shapes = [
         r#"{"kind":"Deliver","GatekeeperId":_,"RequestId":_,"Worker":_,"NotPast":_}"#,
@@ -70,11 +71,12 @@
     }
 }
 
-/// A line with `_` for each value but that of the first key.
+/// Returns the line with `_` in place of every value except that of `kind`.
 fn shape(line: &str) -> String {
     let value: Value = serde_json::from_str(line).expect("a line is JSON");
     let object = value.as_object().expect("a line is an object");
-    // The parsed object does not keep the order of its keys, so they are put in the order of the line.
+    // The parsed object does not preserve the order of its keys, so they are sorted by their position in the
+    // line.
     let mut keys: Vec<&String> = object.keys().collect();
     keys.sort_by_key(|key| line.find(&format!("\"{key}\":")));
     let fields = keys.iter().skip(1).map(|key| format!(",\"{key}\":_"));
--- a/tests/adapter/batches.rs
+++ b/tests/adapter/batches.rs
@@ -1,9 +1,9 @@
-//! Batches of valid frames, and their replies.
+//! Tests of valid batches and their replies.
 
 use crate::support::*;
 
 #[test]
-fn each_batch_is_answered_with_its_actions_and_its_number() {
+fn each_batch_gets_a_reply_with_its_actions_and_its_number() {
     let mut lines = batch(1, []);
     let mut frames = start_with_endpoint(0);
     frames.push(request(0, 41));
@@ -39,9 +39,9 @@
 
 const LOAD_REPORT: &str = r#","Usage":{"outstanding":3,"backlog":1,"utilization":0.5,"recent_ms":8.5,"throughput":90.0,"errors_per_s":0}"#;
 
-/// Requests with an attempt and a health check for every ending that the wire knows.
-fn frames_with_every_ending() -> Vec<String> {
-    let endings = [
+/// Returns a request, a finished attempt and a health check for each status of the protocol.
+fn frames_with_every_status() -> Vec<String> {
+    let statuses = [
         "OK",
         "INTERNAL",
         "RESOURCE_EXHAUSTED",
@@ -52,12 +52,12 @@
         "TOO_LATE",
     ];
     let mut frames = Vec::new();
-    for (id, ending) in (100..).zip(endings) {
-        let figures = format!(r#","Latency":9.5,"SeenUse":86,"Actual":3{LOAD_REPORT}"#);
+    for (id, status) in (100..).zip(statuses) {
+        let measurements = format!(r#","Latency":9.5,"SeenUse":86,"Actual":3{LOAD_REPORT}"#);
         let health =
-            format!(r#","Worker":"worker.a","Latency":1.5,"Ending":"{ending}"{LOAD_REPORT}"#);
+            format!(r#","Worker":"worker.a","Latency":1.5,"Ending":"{status}"{LOAD_REPORT}"#);
         frames.push(request(0, id));
-        frames.push(attempt_finished(id, ending, &figures));
+        frames.push(attempt_finished(id, status, &measurements));
         frames.push(frame("StatusBack", 0, &health));
     }
     frames
@@ -67,9 +67,9 @@
 fn every_kind_of_frame_is_accepted() {
     let mut frames = start_with_endpoint(0);
     frames.extend(["diff", "snapshot", "disk", "error"].map(|form| endpoints_changed(0, form)));
-    frames.extend(frames_with_every_ending());
+    frames.extend(frames_with_every_status());
     let further_frames = [
-        // A failed call refers to no list.
+        // A failed discovery call refers to no endpoint list.
         ("DirectoryUpdate", r#","Form":"error""#),
         ("Incoming", r#","RequestId":200,"GiveUpAt":2000.0"#),
         (
@@ -86,7 +86,7 @@
         ("Fired", r#","Nonce":77"#),
         ("Fired", ""),
         ("Retire", ""),
-        // An instance that does not run may be stopped.
+        // Stopping an instance that is not running is permitted.
         ("Retire", ""),
     ];
     frames.extend(further_frames.map(|(kind, keys)| frame(kind, 0, keys)));
--- a/tests/adapter/invalid_input.rs
+++ b/tests/adapter/invalid_input.rs
@@ -1,18 +1,18 @@
-//! Input that the adapter must refuse, and the errors that it reports.
+//! Tests of the errors that the adapter reports for invalid input.
 
 use crate::support::*;
 
-/// Input that must end the adapter with failure.
+/// Input for which the adapter must exit with failure.
 struct InvalidInput {
-    what: &'static str,
+    case: &'static str,
     lines: Vec<String>,
-    /// How the message must begin.
+    /// The expected beginning of the error message, after the program name.
     message: &'static str,
 }
 
-fn invalid(what: &'static str, lines: Vec<String>, message: &'static str) -> InvalidInput {
+fn invalid(case: &'static str, lines: Vec<String>, message: &'static str) -> InvalidInput {
     InvalidInput {
-        what,
+        case,
         lines,
         message,
     }
@@ -59,22 +59,22 @@
         invalid(
             "an end without a beginning",
             vec![end_batch()],
-            "line 1: a frame outside a batch",
+            "line 1: received a frame outside a batch",
         ),
         invalid(
             "an event outside a batch",
             vec![request(0, 1)],
-            "line 1: a frame outside a batch",
+            "line 1: received a frame outside a batch",
         ),
         invalid(
             "a batch in a batch",
             vec![begin_batch(1), begin_batch(2)],
-            "line 2: a batch begins inside a batch",
+            "line 2: a batch began before the previous batch ended",
         ),
         invalid(
             "the input ends inside a batch",
             vec![begin_batch(1)],
-            "line 1: the input ends inside a batch",
+            "line 1: input ended inside a batch",
         ),
     ]
 }
@@ -84,7 +84,7 @@
         invalid(
             "an instance that was never started",
             vec![begin_batch(1), request(3, 1)],
-            "line 2: an event for gatekeeper_3, which has not been started",
+            "line 2: received a frame for gatekeeper_3, which is not running",
         ),
         invalid(
             "an instance that was stopped",
@@ -95,12 +95,12 @@
                 String::new(),
                 frame("Accepted", 0, ""),
             ],
-            "line 5: an event for gatekeeper_0, which has not been started",
+            "line 5: received a frame for gatekeeper_0, which is not running",
         ),
         invalid(
             "a failed call of discovery for an instance that was never started",
             vec![begin_batch(1), endpoints_changed(4, "error")],
-            "line 2: an event for gatekeeper_4, which has not been started",
+            "line 2: received a frame for gatekeeper_4, which is not running",
         ),
         invalid(
             "an endpoint list that was never sent",
@@ -109,29 +109,29 @@
                 start_instance(0, SETTINGS),
                 endpoints_changed(0, "diff"),
             ],
-            "line 3: there is no endpoint list with the number 0",
+            "line 3: unknown endpoint list 0",
         ),
     ]
 }
 
 #[test]
-fn invalid_input_is_reported_in_one_line_that_names_its_place() {
+fn invalid_input_is_reported_in_one_line_with_its_line_number() {
     let inputs = [
         malformed_frames(),
         frames_outside_their_batch(),
         frames_for_missing_state(),
     ];
     for InvalidInput {
-        what,
+        case,
         lines,
         message,
     } in inputs.into_iter().flatten()
     {
         let run = run_adapter(&lines);
-        assert!(!run.success, "{what} passes");
-        assert_eq!(run.errors.lines().count(), 1, "{what}: {}", run.errors);
+        assert!(!run.success, "{case}: expected a failure");
+        assert_eq!(run.errors.lines().count(), 1, "{case}: {}", run.errors);
         let expected = format!("marlshelf-simulator-adapter: {message}");
-        assert!(run.errors.starts_with(&expected), "{what}: {}", run.errors);
-        assert!(run.output.is_empty(), "{what}: {}", run.output);
+        assert!(run.errors.starts_with(&expected), "{case}: {}", run.errors);
+        assert!(run.output.is_empty(), "{case}: {}", run.output);
     }
 }
--- a/tests/adapter/main.rs
+++ b/tests/adapter/main.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter as a process: frames in, lines out.
+//! Tests of the simulator adapter as a separate process, through its standard input and output.
 
 mod actions;
 mod batches;
