--- a/tests/decisions/retry_budget.rs
+++ b/tests/decisions/retry_budget.rs
@@ -6,7 +6,7 @@
     assert_eq!(
         actual.to_bits(),
         expected.to_bits(),
-        "{actual} instead of {expected}"
+        "expected {expected}, got {actual}"
     );
 }
 
--- a/tests/statistics/averages.rs
+++ b/tests/statistics/averages.rs
@@ -1,4 +1,4 @@
-//! Values, averages and reports that decay with time or with each sample.
+//! Tests of decaying values, moving averages, timestamped samples and time-averaged gauges.
 
 use crate::assertions::{assert_exactly, assert_near};
 use marlshelf::statistics::{
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn regular_events_settle_at_their_rate_per_second() {
+fn regular_events_converge_to_their_rate_per_second() {
     let mut rate = DecayingValue::default();
     rate.add_event(2.0, Timestamp(0.0), TIME_CONSTANT);
     assert_exactly(rate.last_value(), 1.0);
     for event in 1..=3000 {
         rate.add_event(2.0, Timestamp(f64::from(event) * 10.0), TIME_CONSTANT);
     }
-    // Two units each 10 ms are 200 a second.
+    // Two units every 10 ms are 200 units per second.
     assert!(
         (199.0..202.0).contains(&rate.last_value()),
         "{}",
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_sample_gives_way_to_the_fallback_as_it_ages() {
+fn the_weight_of_a_sample_shifts_to_the_fallback_with_its_age() {
     let sample = TimestampedSample::new(10.0, Timestamp(500.0));
     let mean_at = |now| sample.weighted_mean(2.0, Timestamp(now), Milliseconds(1000.0));
     assert_exactly(mean_at(500.0), 10.0);
@@ -141,7 +141,7 @@
 fn a_time_averaged_gauge_counts_a_level_only_while_it_lasts() {
     let mut gauge = TimeAveragedGauge::default();
     gauge.advance(0.0, Timestamp(10_000.0), TIME_CONSTANT);
-    // The level has been 5 for no time at all when it falls again.
+    // The level was 5 for a duration of zero.
     gauge.advance(5.0, Timestamp(10_000.0), TIME_CONSTANT);
     assert_exactly(gauge.mean(0.0, Timestamp(10_000.0), TIME_CONSTANT), 0.0);
     gauge.advance(5.0, Timestamp(12_000.0), TIME_CONSTANT);
--- a/tests/statistics/main.rs
+++ b/tests/statistics/main.rs
@@ -1,4 +1,4 @@
-//! The generic estimators, each on its own.
+//! Tests of the statistical estimators and the token bucket.
 
 mod assertions;
 mod averages;
--- a/tests/statistics/ring_arc.rs
+++ b/tests/statistics/ring_arc.rs
@@ -1,11 +1,11 @@
-//! Arcs of a ring, and the weighted random order of the items on them.
+//! Tests of ring arcs and the weighted random order.
 
 use crate::assertions::assert_exactly;
 use marlshelf::statistics::RingArc;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// How often item 0 of these comes first, of 1.
+/// Returns the fraction of random orders in which item 0 comes first.
 fn fraction_of_first_places(arc: RingArc, items: &[(usize, f64)]) -> f64 {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let rounds = 20_000;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_arc_overlaps_segments_also_past_the_end_of_the_ring() {
+fn an_arc_that_wraps_around_overlaps_segments_on_both_sides() {
     let arc = RingArc {
         start: 0.75,
         length: 0.5,
@@ -83,7 +83,7 @@
         start: 0.25,
         length: 0.5,
     };
-    // On the arc lie 0.25 of item 0 and 0.25 of item 1, of 0.5 each.
+    // Both items have the length 0.5, and the arc overlaps 0.25 of each.
     let fraction = fraction_of_first_places(arc, &[(0, 5.0), (1, 5.0)]);
     assert!((fraction - 0.5).abs() < 0.02, "{fraction}");
     let narrow = RingArc {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_order_of_nothing_is_empty() {
+fn the_order_of_no_items_is_empty() {
     let arc = RingArc {
         start: 0.0,
         length: 1.0,
--- a/tests/statistics/sliding_window.rs
+++ b/tests/statistics/sliding_window.rs
@@ -1,4 +1,4 @@
-//! The sliding window of accepted and rejected events.
+//! Tests of the sliding window of event counts.
 
 use marlshelf::statistics::{SlidingWindow, Tally, WindowShape};
 use marlshelf::{Milliseconds, Timestamp};
@@ -10,7 +10,7 @@
     }
 }
 
-/// Three slots of 100 ms and two events, or of 1,000 ms.
+/// Three slots, each of which closes after 100 ms with two events, or after 1,000 ms.
 const SHAPE: WindowShape = WindowShape {
     slots: 3,
     slot_duration: Milliseconds(100.0),
@@ -19,7 +19,7 @@
 };
 
 #[test]
-fn a_window_counts_each_lane_for_itself() {
+fn a_window_counts_each_series_separately() {
     let mut window = SlidingWindow::new(SHAPE, 2);
     window.record(0, true, Timestamp(10.0));
     window.record(1, false, Timestamp(20.0));
@@ -31,7 +31,7 @@
 #[test]
 fn a_slot_with_enough_events_closes_after_its_time_and_the_oldest_is_dropped() {
     let mut window = SlidingWindow::new(SHAPE, 1);
-    // Two events in each slot of 100 ms: three slots hold six events.
+    // Each slot of 100 ms holds two events, so three slots hold six.
     for event in 0..20 {
         window.record(0, false, Timestamp(f64::from(event) * 50.0));
     }
@@ -46,7 +46,7 @@
     window.record(0, true, Timestamp(0.0));
     window.advance(Timestamp(999.0));
     window.record(0, true, Timestamp(999.0));
-    // Both are in the first slot, which now has enough and is over, so two more slots follow it.
+    // The first slot now has two events, so it closes and the next event goes into the second slot.
     window.record(0, true, Timestamp(999.0));
     assert_eq!(window.tally(0), tally(3, 3));
     window.advance(Timestamp(1999.0));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_long_silence_empties_the_window() {
+fn a_long_gap_empties_the_window() {
     let mut window = SlidingWindow::new(SHAPE, 1);
     window.record(0, true, Timestamp(0.0));
     window.advance(Timestamp(2999.0));
@@ -64,7 +64,7 @@
     window.advance(Timestamp(3000.0));
     assert_eq!(window.tally(0), tally(0, 0));
     window.record(0, true, Timestamp(3000.0));
-    // The number of steps does not grow with the silence.
+    // The number of slots to clear is bounded, however long the gap is.
     window.advance(Timestamp(1e15));
     assert_eq!(window.tally(0), tally(0, 0));
 }
--- a/tests/statistics/token_bucket.rs
+++ b/tests/statistics/token_bucket.rs
@@ -1,4 +1,4 @@
-//! The token bucket.
+//! Tests of the token bucket: refill, burst, debt and settlement.
 
 use crate::assertions::assert_exactly;
 use marlshelf::{BucketLimits, Milliseconds, TokenBucket, Tokens, TokensPerSecond};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_bucket_above_a_lowered_burst_loses_the_rest_at_its_next_refill() {
+fn a_bucket_above_a_lowered_burst_loses_the_excess_at_its_next_refill() {
     let mut bucket = TokenBucket::with_level(Tokens(50.0));
     let limits = BucketLimits {
         refill_rate: TokensPerSecond(0.0),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_bucket_can_be_overdrawn_and_pays_its_debt_off() {
+fn a_bucket_can_be_overdrawn_and_refills_from_its_debt() {
     let mut bucket = TokenBucket::with_level(Tokens(3.0));
     bucket.take(Tokens(5.0));
     assert_exactly(bucket.level().as_f64(), -2.0);
