--- a/tests/decisions/load_balancing.rs
+++ b/tests/decisions/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Load balancing: the choice among endpoints by state, failures, speed and size.
+//! Tests of load balancing by endpoint state, failures, latency and weight.
 
 use crate::support::actions::Actions;
 use crate::support::gateway::{TestGateway, endpoint, endpoints_of_one_zone};
@@ -69,18 +69,18 @@
     }
     assert!(
         to_failing < 60,
-        "expected less than 60 of 300 to the endpoint that fails at once, got {to_failing}"
+        "expected less than 60 of 300 to the endpoint that fails within 1 ms, got {to_failing}"
     );
 }
 
-/// The size of the endpoint with this index in `balance_over_a_fleet`.
-fn size(index: usize) -> f64 {
+/// Returns the weight of the endpoint with this index in `balance_over_a_fleet`.
+fn weight_of(index: usize) -> f64 {
     if index.is_multiple_of(2) { 3.5 } else { 1.5 }
 }
 
-/// Where 100 gateways forward 100 requests each.
+/// The endpoints to which 100 gateways forward 100 requests each.
 struct FleetBalance {
-    /// Pairs of a gateway and an endpoint that it forwarded to.
+    /// The number of pairs of a gateway and an endpoint to which it forwarded a request.
     connections: usize,
     requests: BTreeMap<String, f64>,
 }
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn hundred_gateways_use_a_subset_of_endpoints_each_and_load_all_by_size() {
+fn hundred_gateways_use_subsets_that_load_all_endpoints_by_weight() {
     let mut endpoints = endpoints_of_one_zone(60);
     for (index, endpoint) in endpoints.iter_mut().enumerate() {
-        endpoint.weight = size(index);
+        endpoint.weight = weight_of(index);
     }
     let balance = balance_over_a_fleet(&endpoints);
     assert!(
@@ -124,23 +124,24 @@
         balance.connections
     );
     for index in 0..60 {
-        let even_share = 10_000.0 * size(index) / 150.0;
+        let even_share = 10_000.0 * weight_of(index) / 150.0;
         let requests = balance.requests.get(&format!("s{index:02}"));
         let of_even_share = requests.copied().unwrap_or(0.0) / even_share;
         assert!(
             (0.6..1.5).contains(&of_even_share),
-            "expected endpoint {index} of size {} to get 0.6 to 1.5 of its even share, got {of_even_share}",
-            size(index)
+            "expected endpoint {index} of weight {} to get 0.6 to 1.5 of its even share, got {of_even_share}",
+            weight_of(index)
         );
     }
 }
 
-/// How many of the last 50 of 70 requests a gateway of a hundred forwards to the slow one of 12 endpoints.
+/// Returns how many of the last 50 of 70 requests go to the slow one of 12 endpoints, at one gateway of a
+/// fleet of 100.
 fn forwarded_to_slow_endpoint(seed: u64) -> usize {
     const SLOW: &str = "s05";
     let endpoints = endpoints_of_one_zone(12);
     let mut gateway = TestGateway::with_endpoints(fleet_settings(100), seed, endpoints);
-    // At two requests a second each endpoint gets one in six seconds.
+    // At two requests per second, each of the 12 endpoints gets one request in six seconds.
     let to_slow = (0..70u64).filter(|id| {
         let now_ms = 10_000.0 + 500.0 * *id as f64;
         let endpoint = gateway
@@ -148,15 +149,15 @@
             .forwarded_to()
             .expect("the request is forwarded");
         let latency_ms = if endpoint == SLOW { 400.0 } else { 40.0 };
-        let answered = outcome(*id, &endpoint, AttemptResult::Success, latency_ms);
-        gateway.finish(now_ms + latency_ms, answered);
+        let finished = outcome(*id, &endpoint, AttemptResult::Success, latency_ms);
+        gateway.finish(now_ms + latency_ms, finished);
         endpoint == SLOW && *id >= 20
     });
     to_slow.count()
 }
 
 #[test]
-fn gateway_of_a_hundred_avoids_a_slow_endpoint_after_a_few_answers() {
+fn gateway_in_a_fleet_of_100_avoids_a_slow_endpoint_after_a_few_responses() {
     let to_slow: usize = (1..=20).map(forwarded_to_slow_endpoint).sum();
     assert!(
         to_slow <= 15,
--- a/tests/decisions/load_shedding.rs
+++ b/tests/decisions/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: adaptive rejection by priority tier, and signs of load that must not cause it.
+//! Tests of adaptive load shedding by priority tier, and of load patterns that must not cause it.
 
 use crate::support::actions::Actions;
 use crate::support::gateway::{TestGateway, endpoints_of_one_zone};
@@ -11,7 +11,7 @@
 fn all_requests_pass_while_none_fails_and_a_minimum_rate_once_all_fail() {
     let mut gateway = TestGateway::new(settings());
     let served = gateway.count_served(0..50, |id| request(id, id as f64 * 10.0));
-    assert_eq!(served, 50, "nothing is rejected while nothing fails");
+    assert_eq!(served, 50, "expected no rejection while no request fails");
     let mut forwarded = 0;
     for step in 0..600u64 {
         let id = 1000 + step;
@@ -25,7 +25,7 @@
     }
     assert!(
         forwarded < 200,
-        "expected less than 200 of 600 to endpoints that answer nothing, got {forwarded}"
+        "expected less than 200 of 600 to endpoints that never respond, got {forwarded}"
     );
     assert!(
         forwarded >= 3,
@@ -35,13 +35,13 @@
 
 #[test]
 fn lower_priority_tier_is_rejected_first() {
-    const REQUESTS_PER_TENTH: u64 = 20;
-    const CAPACITY_PER_TENTH: u32 = 8;
+    const REQUESTS_PER_INTERVAL: u64 = 20;
+    const CAPACITY_PER_INTERVAL: u32 = 8;
     let mut settings = settings();
     settings.classes[IDEMPOTENT].idempotency = Idempotency::NonIdempotent;
     let mut gateway = TestGateway::new(settings);
     let mut forwarded = [0; 2];
-    let (mut tenth, mut forwarded_in_tenth) = (0, 0);
+    let (mut interval, mut forwarded_in_interval) = (0, 0);
     for id in 0..2000u64 {
         let now_ms = id as f64 * 5.0;
         let class = [NON_IDEMPOTENT, IDEMPOTENT][(id % 2) as usize];
@@ -50,12 +50,12 @@
             continue;
         };
         forwarded[class] += 1;
-        if id / REQUESTS_PER_TENTH != tenth {
-            tenth = id / REQUESTS_PER_TENTH;
-            forwarded_in_tenth = 0;
+        if id / REQUESTS_PER_INTERVAL != interval {
+            interval = id / REQUESTS_PER_INTERVAL;
+            forwarded_in_interval = 0;
         }
-        forwarded_in_tenth += 1;
-        let result = if forwarded_in_tenth > CAPACITY_PER_TENTH {
+        forwarded_in_interval += 1;
+        let result = if forwarded_in_interval > CAPACITY_PER_INTERVAL {
             AttemptResult::TimedOut
         } else {
             AttemptResult::Success
@@ -80,12 +80,12 @@
     });
     assert!(
         served > 50,
-        "expected more than 50 of 100 after the slow spell, got {served}"
+        "expected more than 50 of 100 after the slow responses, got {served}"
     );
 }
 
 #[test]
-fn few_slow_answers_do_not_make_a_class_look_slow() {
+fn few_slow_responses_do_not_make_a_class_look_slow() {
     let mut gateway = TestGateway::new(settings());
     let forwarded = (0..400u64).filter(|id| {
         let latency_ms = if id % 25 == 24 { 790.0 } else { 40.0 };
@@ -95,12 +95,12 @@
     let forwarded = forwarded.count();
     assert!(
         forwarded > 380,
-        "expected more than 380 of 400 while one answer in 25 takes twenty times as long, got {forwarded}"
+        "expected more than 380 of 400 while one response in 25 takes twenty times as long, got {forwarded}"
     );
 }
 
 #[test]
-fn one_request_in_flight_of_one_of_hundreds_of_gateways_does_not_mean_a_queue() {
+fn single_request_in_flight_in_a_large_fleet_does_not_imply_a_queue() {
     let mut gateway = TestGateway::new(fleet_settings(300));
     for id in 0..30u64 {
         let received = request(id, id as f64 * 30_000.0).shard_size(1);
@@ -110,29 +110,29 @@
 }
 
 #[test]
-fn busy_gateway_of_a_hundred_does_not_take_all_endpoints_for_busy() {
+fn busy_gateway_in_a_fleet_of_100_does_not_estimate_all_endpoints_as_full() {
     const LATENCY_MS: f64 = 150.0;
     struct InFlight {
-        answered_at_ms: f64,
+        finished_at_ms: f64,
         id: u64,
         endpoint: String,
     }
     let endpoints = endpoints_of_one_zone(60);
     let mut gateway = TestGateway::with_endpoints(fleet_settings(100), 3, endpoints);
-    // At forty requests a second six are in flight on average, on ten endpoints or more.
+    // At 40 requests per second, six are in flight on average, on at least ten endpoints.
     let mut in_flight = VecDeque::<InFlight>::new();
     for id in 0..400u64 {
         let now_ms = 25.0 * id as f64;
-        while let Some(answered) = in_flight.pop_front_if(|next| next.answered_at_ms <= now_ms) {
-            let outcome = success(answered.id, &answered.endpoint, LATENCY_MS);
-            gateway.finish(answered.answered_at_ms, outcome);
+        while let Some(finished) = in_flight.pop_front_if(|next| next.finished_at_ms <= now_ms) {
+            let outcome = success(finished.id, &finished.endpoint, LATENCY_MS);
+            gateway.finish(finished.finished_at_ms, outcome);
         }
         let endpoint = gateway
             .receive(request(id, now_ms).shard_size(1))
             .forwarded_to()
             .unwrap_or_else(|| panic!("expected request {id} to be forwarded"));
         in_flight.push_back(InFlight {
-            answered_at_ms: now_ms + LATENCY_MS,
+            finished_at_ms: now_ms + LATENCY_MS,
             id,
             endpoint,
         });
--- a/tests/decisions/request_lifecycle.rs
+++ b/tests/decisions/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request: every one gets one final answer, and what has ended is forgotten.
+//! Tests of the request lifecycle: each request gets one final response, and later events for it are ignored.
 
 use crate::support::actions::Actions;
 use crate::support::gateway::{TestGateway, default_endpoints};
@@ -36,7 +36,7 @@
     let actions = gateway.finish(2000.0, timed_out);
     assert!(
         actions.is_rejected() || actions.is_failed(),
-        "expected a final answer after the timeout, got {actions:?}"
+        "expected a final response after the timeout, got {actions:?}"
     );
 }
 
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: what may be retried, where, and until when.
+//! Tests of retries: which requests are retried, on which endpoints, and until when.
 
 use crate::support::actions::Actions;
 use crate::support::gateway::{TestGateway, endpoint};
@@ -6,15 +6,19 @@
 use crate::support::settings::{KEYED, NON_IDEMPOTENT, settings};
 use marlshelf::{Action, AttemptResult, Milliseconds};
 
-/// The first attempt of a request, which has ended.
+/// The first attempt of a request after it has ended.
 struct FirstAttempt {
     endpoint: String,
-    /// What the gateway does after the attempt.
+    /// The actions of the gateway at the end of the attempt.
     actions: Vec<Action>,
 }
 
-/// Forwards a request of this class and ends its first attempt after 10 ms.
-fn first_attempt(gateway: &mut TestGateway, class: usize, result: AttemptResult) -> FirstAttempt {
+/// Forwards a request of this class and finishes its first attempt after 10 ms.
+fn finish_first_attempt(
+    gateway: &mut TestGateway,
+    class: usize,
+    result: AttemptResult,
+) -> FirstAttempt {
     let endpoint = gateway
         .receive(request(1, 0.0).class(class))
         .forwarded_to()
@@ -24,14 +28,15 @@
 }
 
 #[test]
-fn non_idempotent_request_fails_without_a_retry_once_it_may_have_run() {
+fn non_idempotent_request_fails_without_a_retry_after_a_possible_execution() {
     for result in [
         AttemptResult::Error,
         AttemptResult::TimedOut,
         AttemptResult::ConnectionReset,
     ] {
         let mut gateway = TestGateway::new(settings());
-        let FirstAttempt { actions, .. } = first_attempt(&mut gateway, NON_IDEMPOTENT, result);
+        let FirstAttempt { actions, .. } =
+            finish_first_attempt(&mut gateway, NON_IDEMPOTENT, result);
         assert!(
             actions.forwarded_to().is_none() && !actions.is_rejected() && actions.is_failed(),
             "expected a failure after {result:?}, got {actions:?}"
@@ -40,11 +45,11 @@
 }
 
 #[test]
-fn request_that_never_ran_is_retried_on_another_endpoint() {
+fn request_that_was_not_executed_is_retried_on_another_endpoint() {
     for result in [AttemptResult::Overloaded, AttemptResult::ConnectFailed] {
         let mut gateway = TestGateway::new(settings());
         let FirstAttempt { endpoint, actions } =
-            first_attempt(&mut gateway, NON_IDEMPOTENT, result);
+            finish_first_attempt(&mut gateway, NON_IDEMPOTENT, result);
         let next = actions.forwarded_to();
         assert!(
             next.as_ref().is_some_and(|next| *next != endpoint),
@@ -65,7 +70,7 @@
         ];
         let mut gateway = TestGateway::with_endpoints(settings(), seed, endpoints);
         let FirstAttempt { endpoint, actions } =
-            first_attempt(&mut gateway, KEYED, AttemptResult::Error);
+            finish_first_attempt(&mut gateway, KEYED, AttemptResult::Error);
         let next = actions.forwarded_to().expect("the request is retried");
         assert_eq!(
             in_zone_1(&endpoint),
@@ -80,7 +85,8 @@
     let mut settings = settings();
     settings.classes[KEYED].deduplication_window = Milliseconds(5.0);
     let mut gateway = TestGateway::new(settings);
-    let FirstAttempt { actions, .. } = first_attempt(&mut gateway, KEYED, AttemptResult::Error);
+    let FirstAttempt { actions, .. } =
+        finish_first_attempt(&mut gateway, KEYED, AttemptResult::Error);
     assert!(
         actions.is_failed(),
         "expected a failure 10 ms after the attempt with a window of 5, got {actions:?}"
--- a/tests/decisions/retry_budget.rs
+++ b/tests/decisions/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Tests of the retry budget.
 
 use marlshelf::RetryBudget;
 
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the share of an endpoint that is warming up, as single gateways choose it.
+//! Tests of slow start with independent gateways: the share of requests that a warming endpoint gets.
 
 use crate::support::actions::Actions;
 use crate::support::gateway::{TestGateway, endpoint};
@@ -19,13 +19,13 @@
     let served = gateway.count_served(0..300, |id| request(id, 10_000.0 + id as f64 * 10.0));
     assert_eq!(served, 300, "the warm endpoints serve all requests");
     gateway.update_endpoint(13_000.0, started_at("d", 13_000.0));
-    // No attempt ends, so that the warm endpoints fill up and the new one looks free.
+    // No attempt ends, so the warm endpoints fill up and the new endpoint looks idle.
     let to_new = (0..100u64).filter(|step| {
         let received = request(1000 + step, 13_000.0 + *step as f64 * 10.0);
         gateway.receive(received).forwarded_to().as_deref() == Some("d")
     });
     let to_new = to_new.count();
-    // Three warm endpoints bear about 33 a second each, and a fifth of that is 7.
+    // Each of the three warm endpoints gets about 33 requests per second, and a fifth of that is 7.
     assert!(
         (1..=12).contains(&to_new),
         "expected 1 to 12 in the first second, got {to_new}"
@@ -56,17 +56,19 @@
             to_new += u32::from(chosen == "new");
         }
     }
-    // A warm endpoint bears 100 of the 1000, and a fifth to a quarter of that is 20 to 30.
+    // A warm endpoint gets 100 of the 1000 requests, and a fifth to a quarter of that is 20 to 25. The test
+    // allows 30.
     assert!(
         to_new <= 30,
         "expected at most 30 in the first second, got {to_new}"
     );
 }
 
-/// Whether one gateway of a hundred forwards to an endpoint that started 9 s ago and is the only one left.
+/// Returns whether one gateway of a fleet of 100 forwards to the only ready endpoint, which started 9 s ago.
 ///
-/// The warm endpoint needed about 150 ms without load. At the least that the settings promise the new one needs
-/// 237 ms, above the 226 that a request may take here, but most endpoints can do more by then.
+/// The old endpoint had a service time of about 150 ms without load. With the guaranteed minimum of its
+/// capacity, the new endpoint would take 237 ms. That is above the limit of 226 ms for a request here, but
+/// most endpoints have more capacity by then.
 fn uses_endpoint_while_it_warms_up(id: u32) -> bool {
     let settings = Settings {
         gateway: GatewayId(id),
@@ -98,6 +100,6 @@
         .count();
     assert!(
         (5..20).contains(&using),
-        "expected 5 to 19 of 20 gateways to use the endpoint, by the random part that each allows, got {using}"
+        "expected 5 to 19 of 20 gateways to use the endpoint, depending on their random choices, got {using}"
     );
 }
--- a/tests/decisions/slow_start_fleet.rs
+++ b/tests/decisions/slow_start_fleet.rs
@@ -1,6 +1,8 @@
-//! Slow start over a whole fleet: endpoints start one by one or many at once, also during a burst. An endpoint
-//! that warms up fails when in any window it is sent more than a multiple of its present capacity, and requests
-//! that it rejects count as well.
+//! Tests of slow start in a simulated fleet. Endpoints start one by one or many at once, in some tests during
+//! a traffic burst.
+//!
+//! An endpoint that is warming up fails when the work sent to it within a window exceeds a multiple of its
+//! current capacity. Requests that it rejects count as well.
 
 use crate::support::slow_start_fleet::{
     FIRST_START, FleetSize, RUN_AFTER_START, Rollout, RolloutKind, RolloutRun, SLOW_START,
@@ -13,7 +15,7 @@
 
 const SEEDS: u64 = 3;
 
-/// Two gateways see so much of their endpoints that these have to be fast to be overloaded.
+/// Two gateways observe the load of their endpoints so well that only fast endpoints can be overloaded.
 const TWO_GATEWAYS: FleetSize = FleetSize {
     gateways: 2,
     endpoints: 20,
@@ -64,7 +66,7 @@
     burst: false,
 };
 
-/// The traffic that new endpoints get over their warm-up, as a fraction of an equal share.
+/// The traffic to new endpoints at three stages of their warm-up, as a fraction of an equal share.
 #[derive(Debug)]
 struct Ramp {
     just_started: f64,
@@ -82,13 +84,14 @@
     }
 }
 
-/// What a simulated rollout came to.
+/// The results of a simulated rollout.
 struct Measurements {
-    /// The most that a window held at a new endpoint, as a fraction of what it tolerates.
+    /// The most work in a window at a new endpoint, as a fraction of the work that it tolerates.
     worst_overload: f64,
     failed_endpoints: usize,
     ramp: Ramp,
-    /// What was served during the warm-up, as a fraction of what all endpoints could do.
+    /// The work served during the warm-up, as a fraction of the work that the running endpoints could have
+    /// served.
     served: f64,
 }
 
@@ -153,7 +156,7 @@
     served.map(|request| request.work).sum()
 }
 
-/// The traffic that new endpoints got in this time after their starts, as a fraction of an equal share.
+/// Returns the traffic to new endpoints in this period after their starts, as a fraction of an equal share.
 fn share_of_traffic(fleet: &RolloutRun, after_start: Range<Milliseconds>) -> f64 {
     let period_of = |endpoint: &SimulatedEndpoint| {
         let started_at = endpoint.started_at();
@@ -186,7 +189,8 @@
     served / possible
 }
 
-/// Runs the rollout with all sizes and seeds before it judges: how many fail says more than that one does.
+/// Asserts only after the runs of all sizes and seeds, because the number of failed runs says more than the
+/// first failure.
 fn assert_endpoints_warm_up_without_overload(sizes: &[FleetSize], rollout: Rollout) {
     let mut failures = Vec::new();
     for size in sizes {
--- a/tests/decisions/support/actions.rs
+++ b/tests/decisions/support/actions.rs
@@ -1,30 +1,30 @@
-//! Questions that tests ask of the actions an engine returned.
+//! Queries on the actions that an engine returned.
 
 use marlshelf::{Action, Milliseconds, TimerToken, Timestamp};
 
-/// The token of the timer that every engine sets for its gossip outbox. All other tokens belong to requests.
+/// The token of the gossip outbox timer, which every engine sets. All other tokens belong to requests.
 pub const GOSSIP_TIMER: u64 = 1;
 
-/// A timer that an engine asked for.
+/// A timer that an engine has requested.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timer {
     pub token: u64,
     pub delay_ms: f64,
 }
 
-/// What a list of actions holds.
+/// Queries on a list of actions.
 pub trait Actions {
-    /// The endpoint of the first attempt that is started.
+    /// Returns the endpoint of the first attempt that the actions start.
     fn forwarded_to(&self) -> Option<String>;
-    /// When the first attempt that is started has to be abandoned.
+    /// Returns the deadline of the first attempt that the actions start.
     fn attempt_deadline_ms(&self) -> Option<f64>;
     fn is_rejected(&self) -> bool;
     fn is_failed(&self) -> bool;
-    /// The first timer.
+    /// Returns the first timer.
     fn timer(&self) -> Option<Timer>;
-    /// The first timer that belongs to a request.
+    /// Returns the first timer that belongs to a request.
     fn request_timer(&self) -> Option<Timer>;
-    /// The texts of all gossip datagrams.
+    /// Returns the texts of all gossip datagrams.
     fn gossip(&self) -> Vec<String>;
 }
 
--- a/tests/decisions/support/gateway.rs
+++ b/tests/decisions/support/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway under test: a decision engine with a list of endpoints.
+//! A gateway under test: a decision engine that receives events directly.
 
 use super::actions::Actions;
 use super::requests::{TestRequest, success};
@@ -7,14 +7,15 @@
     Event, GatewayId, HardwareId, RequestId, Settings, TimerToken, Timestamp, ZoneId,
 };
 
-/// The seed of engines in tests that hold for any seed.
+/// The seed of engines in tests whose result does not depend on the seed.
 const SEED: u64 = 11;
 
 pub struct TestGateway {
     engine: DecisionEngine,
 }
 
-/// An endpoint of the usual size that has long been ready. The cell has the number of the zone.
+/// Returns an endpoint of weight 1 that has been ready for a long time. Its cell has the same number as its
+/// zone.
 pub fn endpoint(name: &str, zone: u32) -> Endpoint {
     Endpoint {
         name: name.into(),
@@ -27,12 +28,12 @@
     }
 }
 
-/// Endpoints a and b in zone 0 and c in zone 1.
+/// Returns the endpoints a and b in zone 0 and c in zone 1.
 pub fn default_endpoints() -> Vec<Endpoint> {
     vec![endpoint("a", 0), endpoint("b", 0), endpoint("c", 1)]
 }
 
-/// So many endpoints of zone 0, named `s00`, `s01` and so on.
+/// Returns `count` endpoints of zone 0, named `s00`, `s01` and so on.
 pub fn endpoints_of_one_zone(count: usize) -> Vec<Endpoint> {
     (0..count)
         .map(|index| endpoint(&format!("s{index:02}"), 0))
@@ -40,19 +41,19 @@
 }
 
 impl TestGateway {
-    /// A gateway with the default endpoints.
+    /// Creates a gateway with the default endpoints.
     pub fn new(settings: Settings) -> Self {
         Self::with_endpoints(settings, SEED, default_endpoints())
     }
 
-    /// A gateway that knows these endpoints from time 0 on.
+    /// Creates a gateway that receives this endpoint list at time 0.
     pub fn with_endpoints(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let mut gateway = Self::without_endpoints(settings, seed);
         gateway.replace_endpoints(0.0, endpoints);
         gateway
     }
 
-    /// A gateway that has not received any endpoint list.
+    /// Creates a gateway that has not received an endpoint list.
     pub fn without_endpoints(settings: Settings, seed: u64) -> Self {
         let engine = DecisionEngine::new(settings, seed).expect("the settings are valid");
         TestGateway { engine }
@@ -62,13 +63,13 @@
         self.engine.handle_event(Timestamp(now_ms), event)
     }
 
-    /// Discovery sends the full list.
+    /// Replaces the endpoint list by a snapshot.
     pub fn replace_endpoints(&mut self, now_ms: f64, endpoints: Vec<Endpoint>) -> Vec<Action> {
         let kind = EndpointListKind::Snapshot;
         self.handle(now_ms, Event::EndpointsChanged { kind, endpoints })
     }
 
-    /// Discovery sends a change of one endpoint.
+    /// Updates one endpoint by a delta.
     pub fn update_endpoint(&mut self, now_ms: f64, endpoint: Endpoint) -> Vec<Action> {
         let kind = EndpointListKind::Delta;
         let endpoints = vec![endpoint];
@@ -112,21 +113,23 @@
         )
     }
 
-    /// Receives a request and, if it is forwarded, answers it after a millisecond. Returns whether it was.
+    /// Receives a request and, if it is forwarded, completes it successfully after 1 ms. Returns whether it
+    /// was forwarded.
     pub fn serve(&mut self, request: TestRequest) -> bool {
         self.serve_within(1.0, request).is_some()
     }
 
-    /// Receives a request and, if it is forwarded, answers it after `latency_ms`. Returns the endpoint.
+    /// Receives a request and, if it is forwarded, completes it successfully after `latency_ms`. Returns the
+    /// endpoint.
     pub fn serve_within(&mut self, latency_ms: f64, request: TestRequest) -> Option<String> {
         let RequestId(id) = request.request.id;
-        let answered_at_ms = request.received_at_ms + latency_ms;
+        let finished_at_ms = request.received_at_ms + latency_ms;
         let endpoint = self.receive(request).forwarded_to()?;
-        self.finish(answered_at_ms, success(id, &endpoint, latency_ms));
+        self.finish(finished_at_ms, success(id, &endpoint, latency_ms));
         Some(endpoint)
     }
 
-    /// How many requests with these ids are served, where `request_of` makes each.
+    /// Serves a request for each id, built by `request_of`. Returns how many were forwarded.
     pub fn count_served(
         &mut self,
         ids: std::ops::Range<u64>,
--- a/tests/decisions/support/mod.rs
+++ b/tests/decisions/support/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what surrounds a decision engine: gateways, endpoints, clients and the links between them.
+//! Test doubles for the environment of a decision engine: gateways, endpoints, clients and the network
+//! between them.
 
 pub mod actions;
 pub mod gateway;
--- a/tests/decisions/support/requests.rs
+++ b/tests/decisions/support/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and outcomes of the attempts made for them.
+//! Builders for client requests and attempt outcomes.
 
 use super::settings::{AMPLE_QUOTA, IDEMPOTENT};
 use marlshelf::{
@@ -6,14 +6,15 @@
     RequestId, Timestamp, Tokens,
 };
 
-/// A request and the time at which a gateway receives it.
+/// A request and its time of arrival at a gateway.
 #[derive(Clone)]
 pub struct TestRequest {
     pub received_at_ms: f64,
     pub request: Request,
 }
 
-/// A request of one token that can wait two seconds. Its tenant's shard is gateways 0 and 1.
+/// Returns a request that costs one token and has a client deadline after two seconds. The shard of its
+/// tenant consists of gateways 0 and 1.
 pub fn request(id: u64, received_at_ms: f64) -> TestRequest {
     TestRequest {
         received_at_ms,
@@ -32,7 +33,7 @@
 }
 
 impl TestRequest {
-    /// Another time of arrival. The client deadline stays.
+    /// Changes the time of arrival but not the client deadline.
     pub fn received_at_ms(mut self, received_at_ms: f64) -> Self {
         self.received_at_ms = received_at_ms;
         self
@@ -58,13 +59,13 @@
         self
     }
 
-    /// The tenant's shard is as many gateways from the first on.
+    /// Sets the number of gateways in the tenant's shard, which begins at the same gateway as before.
     pub fn shard_size(mut self, gateways: u32) -> Self {
         self.request.shard_size = gateways;
         self
     }
 
-    /// The tenant's shard is one gateway, which then owns its quota.
+    /// Makes this gateway the only one in the tenant's shard, so that it owns the quota.
     pub fn owned_by(mut self, gateway: u32) -> Self {
         self.request.shard_start = GatewayId(gateway);
         self.request.shard_size = 1;
@@ -81,7 +82,8 @@
     }
 }
 
-/// The outcome of a request's first attempt. A success ends the request, any other result may be retried.
+/// Returns the outcome of a request's first attempt. A success ends the request. After any other result, the
+/// gateway may retry it.
 pub fn outcome(
     request: u64,
     endpoint: &str,
@@ -101,7 +103,7 @@
     }
 }
 
-/// The outcome of a request's first attempt that was answered.
+/// Returns the outcome of a successful first attempt.
 pub fn success(request: u64, endpoint: &str, latency_ms: f64) -> AttemptOutcome {
     outcome(request, endpoint, AttemptResult::Success, latency_ms)
 }
--- a/tests/decisions/support/settings.rs
+++ b/tests/decisions/support/settings.rs
@@ -1,4 +1,4 @@
-//! Settings for gateways under test.
+//! Settings of the gateways under test, and the indices of their classes and plans.
 
 use super::slow_start_fleet::{OVERLOAD_MULTIPLE, SLOW_START};
 use marlshelf::{
@@ -6,23 +6,25 @@
     TokensPerSecond,
 };
 
-/// The class of `settings()` that may be retried without limit, of the lowest priority.
+/// The class of `settings()` whose retries are always safe. It has the lowest priority.
 pub const IDEMPOTENT: usize = 0;
-/// The class of `settings()` that must not be retried once it may have run, of the highest priority.
+/// The class of `settings()` that must not be retried after a possible execution. It has the highest
+/// priority.
 pub const NON_IDEMPOTENT: usize = 1;
-/// The class of `settings()` whose retries the endpoints of one zone deduplicate for two seconds.
+/// The class of `settings()` whose retries are deduplicated by the endpoints of one zone for two seconds.
 pub const KEYED: usize = 2;
 
-/// The plan of `settings()` whose quota no test exhausts.
+/// The plan of `settings()` with a quota that no test exhausts.
 pub const AMPLE_QUOTA: usize = 0;
-/// The plan of `settings()` with a bucket of 4 tokens that refills at 2 a second.
+/// The plan of `settings()` with a bucket of 4 tokens that refills at 2 tokens per second.
 pub const SMALL_QUOTA: usize = 1;
-/// The plan of `settings()` that allows two attempts in flight.
+/// The plan of `settings()` with a concurrency limit of two attempts.
 pub const TWO_PERMITS: usize = 2;
-/// The plan of `settings()` with an ample quota under a hard limit of 4 tokens a second and a burst of 16.
+/// The plan of `settings()` with an ample quota, and a hard limit of 4 tokens per second with a burst of 16.
 pub const HARD_LIMIT: usize = 3;
 
-/// A gateway that is alone, with one class of each idempotency and one plan of each kind of limit.
+/// Returns the settings of the only gateway of a fleet, with one class of each idempotency and one plan of
+/// each kind of limit.
 pub fn settings() -> Settings {
     Settings {
         gateway_count: 1,
@@ -41,7 +43,7 @@
     }
 }
 
-/// `settings()` for the first gateway of a fleet.
+/// Returns `settings()` for the first gateway of a larger fleet.
 pub fn fleet_settings(gateway_count: u32) -> Settings {
     Settings {
         gateway_count,
@@ -49,7 +51,6 @@
     }
 }
 
-/// `settings()` without gossip.
 pub fn settings_without_gossip() -> Settings {
     Settings {
         gossip_enabled: false,
@@ -57,7 +58,8 @@
     }
 }
 
-/// A plan with nothing but a token bucket, where forwarding over quota costs the whole value.
+/// Returns a plan limited only by a token bucket, where each request forwarded over quota is penalized by its
+/// full value.
 pub fn quota_plan(refill_rate: f64, burst: f64) -> Plan {
     Plan {
         refill_rate: TokensPerSecond(refill_rate),
@@ -78,7 +80,7 @@
     }
 }
 
-/// The plans in the order of their constants.
+/// Returns the plans, indexed by the constants above.
 fn plans() -> Vec<Plan> {
     let ample = Plan {
         refill_rate: TokensPerSecond(1000.0),
@@ -108,7 +110,7 @@
     vec![ample, small, two_permits, hard_limit]
 }
 
-/// Two classes without quotas, and the warm-up of simulated endpoints.
+/// Returns settings with two classes, a plan without quota, and the warm-up of the simulated endpoints.
 pub fn slow_start_settings(gateway_count: u32) -> Settings {
     let idempotent = RequestClass {
         priority_weight: 2.0,
--- a/tests/decisions/support/slow_start_fleet.rs
+++ b/tests/decisions/support/slow_start_fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of gateways, each with a small fraction of the traffic, while endpoints start.
+//! A simulated fleet in which endpoints start while each gateway receives a small fraction of the traffic.
 
 use super::settings::slow_start_settings;
 use marlshelf::{AttemptResult, ClassIndex, GatewayId, Milliseconds, RequestId, Timestamp};
@@ -12,58 +12,60 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How endpoints warm up. The gateways are configured accordingly.
+/// The warm-up of the simulated endpoints, which the gateway settings match.
 pub const SLOW_START: SlowStart = SlowStart {
     initial_warmth: 0.16,
     warmup: Milliseconds(16_000.0),
 };
-/// An endpoint fails when a window holds more than this multiple of its capacity.
+/// A warming endpoint fails when the work within a window exceeds this multiple of its capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 4.0;
 const OVERLOAD_WINDOW: Milliseconds = Milliseconds(1500.0);
-/// When the first endpoint starts: by then every gateway knows how fast warm ones answer.
+/// The start of the first new endpoint. By then every gateway has estimated the latency of the warm
+/// endpoints.
 pub const FIRST_START: Timestamp = Timestamp(8000.0);
-/// How long a simulation goes on after the last start.
+/// The duration of a simulation after the last start.
 pub const RUN_AFTER_START: Milliseconds = Milliseconds(18_000.0);
-/// From the last incident to the start of its endpoint.
+/// The time between an incident and the start of its endpoint.
 const DOWNTIME: Milliseconds = Milliseconds(1000.0);
-/// The factor on the traffic during a burst.
+/// The factor by which traffic increases during a burst.
 const BURST: f64 = 1.5;
-/// How long the clients of each class wait for their answer.
+/// The time that clients of each class wait for a response.
 const CLIENT_TIMEOUTS: [Milliseconds; 2] = [Milliseconds(6000.0), Milliseconds(4000.0)];
 const CORES: usize = 4;
-/// A queue of two for each core.
+/// Two queued requests for each core.
 const QUEUE_CAPACITY: usize = 8;
 
-/// How many gateways and endpoints there are, and what the endpoints are offered.
+/// The size of a fleet and its load.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     pub gateways: u32,
     pub endpoints: usize,
-    /// Requests of mean work a second that a warm endpoint does.
+    /// The number of requests of mean work that a warm endpoint serves per second.
     pub capacity: f64,
-    /// What is offered, as a fraction of what all endpoints can do when warm.
+    /// The offered load, as a fraction of the capacity of all endpoints when warm.
     pub utilization: f64,
-    /// The least that has to be served during the warm-up, as a fraction of what all endpoints could do.
+    /// The minimum work that must be served during the warm-up, as a fraction of the work that the running
+    /// endpoints could serve.
     pub min_served: f64,
 }
 
-/// Which endpoints start, and when.
+/// The endpoints that start, and the times of their starts.
 #[derive(Clone, Copy, Debug)]
 pub struct Rollout {
     pub kind: RolloutKind,
-    /// The fraction of the endpoints that start.
+    /// The fraction of the endpoints that are restarted or replaced.
     pub fraction: f64,
-    /// From one start to the next.
+    /// The time between two consecutive starts.
     pub interval: Milliseconds,
-    /// Half as much traffic again arrives for the first half of the warm-up.
+    /// Whether traffic increases by half during the first half of the warm-up.
     pub burst: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutKind {
-    /// The process ends, which resets its connections, and starts again after a downtime.
+    /// The process stops, which resets its connections, and starts again after the downtime.
     Restart,
-    /// An endpoint of a new name takes over at once, and the old one finishes its requests.
+    /// A new endpoint with another name takes over at once, and the old one finishes its requests.
     Replacement,
 }
 
@@ -92,7 +94,7 @@
         }
     }
 
-    /// When one of the endpoints that warm up fails.
+    /// Returns the rule by which warming endpoints fail.
     pub fn overload_rule(&self) -> OverloadRule {
         OverloadRule {
             multiple: OVERLOAD_MULTIPLE,
@@ -108,7 +110,8 @@
         let starts = (self.fraction * endpoint_count as f64).round() as usize;
         let at_each_start = |incident: fn(EndpointIndex) -> Incident| {
             (0..starts).map(move |start| {
-                // The step of 7 avoids neighbours in the order of names, by which gateways choose their subsets of endpoints.
+                // The step of 7 avoids endpoints with adjacent names, because gateways choose their subsets
+                // in the order of names.
                 let index = EndpointIndex(start * 7 % endpoint_count);
                 let at = FIRST_START + self.interval * start as f64;
                 PlannedIncident::at(at, incident(index))
@@ -123,9 +126,9 @@
     }
 }
 
-/// Clients of which each uses one gateway only, with a Poisson process for each gateway.
+/// Clients that each use a single gateway, with a Poisson arrival process per gateway.
 struct GatewayTraffic {
-    /// The requests per second that each gateway receives.
+    /// Requests per second, by gateway.
     rates: Vec<f64>,
     has_burst: bool,
 }
@@ -161,7 +164,8 @@
 
     fn arrive(&mut self, source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrival {
         let next_at = self.next_arrival(source.0, now, random);
-        // The shard is one gateway, which owns the tenant's quota, so that quotas limit nothing here.
+        // The shard consists of one gateway, which owns the tenant's quota. Quotas therefore have no effect
+        // here.
         let request = ClientRequest {
             tenant: "acme".into(),
             class: ClassIndex(usize::from(random.random_range(0..3) == 0)),
@@ -187,7 +191,8 @@
     }
 }
 
-/// One gateway in eight gets several times the traffic of the others. The fractions add up to 1.
+/// Returns the fraction of the traffic for each gateway, with a sum of 1. One gateway in eight gets several
+/// times the traffic of the others.
 fn traffic_fractions(gateways: u32, random: &mut Pcg64Mcg) -> Vec<f64> {
     let weights = (0..gateways).map(|gateway| {
         if gateway.is_multiple_of(8) {
@@ -201,15 +206,15 @@
     weights.iter().map(|weight| weight / sum).collect()
 }
 
-/// What became of a request.
+/// The result of a request.
 pub struct RequestRecord {
-    /// 1 is the mean.
+    /// The work relative to the mean.
     pub work: f64,
     pub arrived_at: Timestamp,
     pub served: bool,
 }
 
-/// All requests in the order of their ids, which start at 1.
+/// The requests in the order of their ids, which start at 1.
 #[derive(Default)]
 struct RequestLog(Vec<RequestRecord>);
 
@@ -233,21 +238,21 @@
     }
 }
 
-/// A rollout after its run.
+/// The endpoints and requests of a completed rollout.
 pub struct RolloutRun {
     pub size: FleetSize,
     pub endpoints: Vec<SimulatedEndpoint>,
     pub requests: Vec<RequestRecord>,
 }
 
-/// Runs a rollout over a fleet that has long been warm.
+/// Runs a rollout over a fleet whose endpoints are all warm at the start.
 pub fn run_rollout(size: FleetSize, rollout: Rollout, seed: u64) -> RolloutRun {
     let incidents = rollout.incidents(size.endpoints);
     let last_start = incidents.last().expect("a rollout starts endpoints").at;
     let scenario = FleetScenario {
         settings: slow_start_settings(size.gateways),
         endpoints: size.endpoint_pool(),
-        // Gateways learn about endpoints from their own attempts only.
+        // All gossip is lost, so gateways estimate endpoints only from their own attempts.
         gossip: GossipNetwork {
             loss_ratio: 1.0,
             ..GossipNetwork::default()
@@ -258,7 +263,8 @@
     };
     let mut generator = Pcg64Mcg::seed_from_u64(seed);
     let clients = GatewayTraffic::new(&size, &rollout, &mut generator);
-    // Traffic and discovery alone decide the run: what else draws random numbers has no effect here.
+    // Only traffic and discovery affect the result of a run. The other streams draw from separate generators
+    // that have no effect.
     let unused = generator.clone();
     let randomness = Randomness::shared(
         generator,
--- a/tests/decisions/support/workload.rs
+++ b/tests/decisions/support/workload.rs
@@ -1,4 +1,4 @@
-//! Requests of a fleet's tenants over time, generated from a seed.
+//! A workload of requests from a fleet's tenants, generated from a seed.
 
 use super::quota_fleet::GATEWAYS;
 use marlshelf::{GatewayId, Milliseconds, PlanIndex, Settings, Timestamp, Tokens};
@@ -6,26 +6,26 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The end of a simulated day, which starts at time 0.
+/// The end of a simulated day, which begins at time 0.
 const END_OF_DAY: Timestamp = Timestamp(40_000.0);
-/// The number of tenants of a quiet day.
+/// The number of tenants on a quiet day.
 const TENANTS: usize = 48;
-/// The mean cost of a request of a quiet day.
+/// The mean cost of a request on a quiet day.
 const MEAN_COST: Tokens = Tokens(3.0);
-/// The largest cost that a request states.
+/// The highest estimated cost of a request, in tokens.
 const MAX_COST: f64 = 6.0;
-/// Half of a tenant's requests arrive at one gateway, which changes after this time.
+/// The time after which a tenant's preferred gateway changes. Half of the requests arrive at it.
 const PREFERRED_GATEWAY_TIME: Milliseconds = Milliseconds(5000.0);
 
-/// All requests of a simulation.
+/// The requests of a simulation and the plans of the tenants.
 pub struct Workload {
-    /// The plan of each tenant.
+    /// The plan of each tenant, by tenant index.
     pub plans_of_tenants: Vec<PlanIndex>,
     /// The requests in the order of arrival.
     pub requests: Vec<ScheduledRequest>,
 }
 
-/// A tenant's request of the least cost and work. Its cost and gateway are yet to be chosen.
+/// Returns a tenant's request template of the lowest cost and work. The caller sets its cost and gateway.
 pub fn request_of_tenant(tenant_index: usize, plan: PlanIndex, shard: Shard) -> ClientRequest {
     ClientRequest {
         tenant: format!("c{tenant_index}").into(),
@@ -37,7 +37,8 @@
     }
 }
 
-/// A quiet day: most tenants use a part of their quota, some nearly all, one in eight three times as much.
+/// Generates a quiet day. Most tenants use part of their quota, some nearly all of it, and one in eight three
+/// times as much.
 pub fn quiet_day(seed: u64, settings: &Settings) -> Workload {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let plan_of = |tenant: usize| PlanIndex(tenant % settings.plans.len());
@@ -63,7 +64,7 @@
     }
 }
 
-/// Adds a day of requests like `template`.
+/// Adds a day of requests based on `template`, as a Poisson process with this mean interval.
 fn add_requests(
     requests: &mut Vec<ScheduledRequest>,
     random: &mut Pcg64Mcg,
