--- a/src/decisions/forwarding.rs
+++ b/src/decisions/forwarding.rs
@@ -24,18 +24,18 @@
     End(RequestEnd),
 }
 
-/// The outcome and the response of a request whose last attempt has ended.
+/// The outcome and the final answer of a request whose last attempt has ended.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestEnd {
     /// The outcome to record; `None` if it has been recorded already.
     pub outcome: Option<RequestOutcome>,
-    pub response: FinalResponse,
+    pub answer: FinalAnswer,
 }
 
-/// The response that the gateway still has to send to the client.
+/// The final answer that the gateway still has to send to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum FinalResponse {
-    /// The client has received a response or has disconnected.
+pub(crate) enum FinalAnswer {
+    /// No answer is needed: the client has received one or has disconnected.
     None,
     /// A rejection, which tells the client that a retry is safe.
     Reject,
@@ -167,13 +167,13 @@
         if request.client_disconnected {
             return NextStep::End(RequestEnd {
                 outcome: None,
-                response: FinalResponse::None,
+                answer: FinalAnswer::None,
             });
         }
         if outcome.request_ended {
             return NextStep::End(RequestEnd {
                 outcome: accepted_if(AttemptResult::Success),
-                response: FinalResponse::None,
+                answer: FinalAnswer::None,
             });
         }
         if let Some(endpoint) = self.retry_endpoint(request, outcome, context) {
@@ -182,7 +182,7 @@
         NextStep::End(RequestEnd {
             // An error response within the objective shows that the endpoint had capacity for the request.
             outcome: accepted_if(AttemptResult::Error),
-            response: self.final_response(request),
+            answer: self.final_answer(request),
         })
     }
 
@@ -213,14 +213,14 @@
             .choose_for_retry(&retry, now, &mut context.rng)
     }
 
-    /// Returns the response to a request whose attempts have all failed: a rejection if a client retry is
+    /// Returns the final answer to a request whose attempts have all failed: a rejection if a client retry is
     /// safe.
-    fn final_response(&self, request: &InFlightRequest) -> FinalResponse {
+    fn final_answer(&self, request: &InFlightRequest) -> FinalAnswer {
         let class = request.received.request.class;
         if request.first_execution.is_none() || self.retry_policy.client_may_retry(class) {
-            FinalResponse::Reject
+            FinalAnswer::Reject
         } else {
-            FinalResponse::Fail
+            FinalAnswer::Fail
         }
     }
 
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -31,7 +31,7 @@
 use crate::settings::Settings;
 use crate::units::{Timestamp, Tokens};
 use context::EventContext;
-use forwarding::{FinalResponse, Forwarding, NextStep, RequestEnd};
+use forwarding::{FinalAnswer, Forwarding, NextStep, RequestEnd};
 use gossip::{QuotaDecision, QuotaRequestId};
 use load_shedding::RequestOutcome;
 use quota::{FreedPermit, LeaseDecision, LeaseRequest, LocalCheck, Quotas, Settlement};
@@ -256,10 +256,10 @@
             self.forwarding
                 .record(received.tier, outcome, &self.context);
         }
-        match end.response {
-            FinalResponse::None => {}
-            FinalResponse::Reject => self.reject(&received.request),
-            FinalResponse::Fail => self.context.fail(id),
+        match end.answer {
+            FinalAnswer::None => {}
+            FinalAnswer::Reject => self.reject(&received.request),
+            FinalAnswer::Fail => self.context.fail(id),
         }
     }
 
