--- a/src/decisions/forwarding.rs
+++ b/src/decisions/forwarding.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Mean latency of endpoint responses, over all endpoints and classes.
+    /// Returns the mean latency of endpoint responses, over all endpoints and classes.
     pub(crate) fn mean_latency(&self) -> Milliseconds {
         self.load_balancer.mean_latency()
     }
--- a/src/decisions/load_balancing/mod.rs
+++ b/src/decisions/load_balancing/mod.rs
@@ -73,7 +73,7 @@
         self.endpoints.len()
     }
 
-    /// Mean latency of endpoint responses, over all endpoints and classes.
+    /// Returns the mean latency of endpoint responses, over all endpoints and classes.
     pub(crate) fn mean_latency(&self) -> Milliseconds {
         self.fleet.mean_latency
     }
--- a/tests/decisions/load_balancing.rs
+++ b/tests/decisions/load_balancing.rs
@@ -22,7 +22,7 @@
     assert_eq!(
         chosen,
         BTreeSet::from(expected),
-        "the endpoints that are ready"
+        "expected only the ready endpoints"
     );
 }
 
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -17,7 +17,10 @@
 fn endpoint_that_has_just_started_gets_a_small_share() {
     let mut gateway = TestGateway::new(settings());
     let served = gateway.count_served(0..300, |id| request(id, 10_000.0 + id as f64 * 10.0));
-    assert_eq!(served, 300, "the warm endpoints serve all requests");
+    assert_eq!(
+        served, 300,
+        "expected the warm endpoints to serve all requests"
+    );
     gateway.update_endpoint(13_000.0, started_at("d", 13_000.0));
     // No attempt ends, so the warm endpoints fill up and the new endpoint looks idle.
     let to_new = (0..100u64).filter(|step| {
