--- a/src/decisions/load_balancing/context.rs
+++ b/src/decisions/load_balancing/context.rs
@@ -15,7 +15,7 @@
 pub(super) const MAX_SIMILAR_PEERS: f64 = 3.0;
 
 /// The settings and values derived from them.
-pub(super) struct ModelContext {
+pub(super) struct LoadBalancingContext {
     pub settings: Arc<Settings>,
     /// The number of other gateways assumed to load the endpoints as this one does.
     pub similar_peers: f64,
@@ -25,9 +25,9 @@
     pub capacity_fraction: f64,
 }
 
-impl ModelContext {
-    pub(super) fn new(settings: Arc<Settings>) -> ModelContext {
-        ModelContext {
+impl LoadBalancingContext {
+    pub(super) fn new(settings: Arc<Settings>) -> LoadBalancingContext {
+        LoadBalancingContext {
             similar_peers: f64::from(settings.gateway_count - 1).min(MAX_SIMILAR_PEERS),
             fleet_scale: fleet_scale(&settings),
             capacity_fraction: capacity_fraction(&settings),
--- a/src/decisions/load_balancing/estimates.rs
+++ b/src/decisions/load_balancing/estimates.rs
@@ -1,6 +1,6 @@
 //! Estimates of the load, the latency and the failure rate of an endpoint.
 
-use super::context::ModelContext;
+use super::context::LoadBalancingContext;
 use super::endpoint::EndpointRecord;
 use super::fleet::FleetEstimates;
 use super::slow_start::{expected_warmup_fraction, warmup_fraction};
@@ -24,7 +24,7 @@
 
 /// Computes estimates as of `now`.
 pub(super) struct Estimator<'a> {
-    pub context: &'a ModelContext,
+    pub context: &'a LoadBalancingContext,
     pub fleet: &'a FleetEstimates,
     pub endpoint_count: usize,
     pub now: Timestamp,
--- a/src/decisions/load_balancing/learning.rs
+++ b/src/decisions/load_balancing/learning.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint and fleet estimates from the outcome of an attempt.
 
-use super::context::ModelContext;
+use super::context::LoadBalancingContext;
 use super::endpoint::{EndpointRecord, InFlightAttempt};
 use super::estimates::{Estimator, service_time_step, slowdown};
 use super::fleet::FleetEstimates;
@@ -78,7 +78,7 @@
 
 /// The state needed to update the estimates from one outcome.
 pub(super) struct EstimateUpdate<'a> {
-    pub context: &'a ModelContext,
+    pub context: &'a LoadBalancingContext,
     pub endpoint: &'a mut EndpointRecord,
     pub fleet: &'a mut FleetEstimates,
     pub previous: PreviousEstimate,
--- a/src/decisions/load_balancing/mod.rs
+++ b/src/decisions/load_balancing/mod.rs
@@ -21,7 +21,7 @@
 };
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp};
-use context::ModelContext;
+use context::LoadBalancingContext;
 use endpoint_table::EndpointTable;
 use estimates::Estimator;
 use fleet::FleetEstimates;
@@ -44,7 +44,7 @@
 
 /// Chooses endpoints for attempts and updates its latency and failure estimates from their outcomes.
 pub(crate) struct LoadBalancer {
-    context: ModelContext,
+    context: LoadBalancingContext,
     endpoints: EndpointTable,
     fleet: FleetEstimates,
 }
@@ -55,7 +55,7 @@
         LoadBalancer {
             fleet: FleetEstimates::new(&settings),
             endpoints: EndpointTable::default(),
-            context: ModelContext::new(settings),
+            context: LoadBalancingContext::new(settings),
         }
     }
 
--- a/tests/adapter/batches.rs
+++ b/tests/adapter/batches.rs
@@ -68,7 +68,7 @@
     let mut frames = start_with_endpoint(0);
     frames.extend(["diff", "snapshot", "disk", "error"].map(|form| endpoints_changed(0, form)));
     frames.extend(frames_with_every_status());
-    let further_frames = [
+    let other_frames = [
         // A failed discovery call refers to no endpoint list.
         ("DirectoryUpdate", r#","Form":"error""#),
         ("Incoming", r#","RequestId":200,"GiveUpAt":2000.0"#),
@@ -89,7 +89,7 @@
         // Stopping an instance that is not running is permitted.
         ("Retire", ""),
     ];
-    frames.extend(further_frames.map(|(kind, keys)| frame(kind, 0, keys)));
+    frames.extend(other_frames.map(|(kind, keys)| frame(kind, 0, keys)));
     let run = run_adapter(&batch(1, frames));
     assert!(run.success && run.errors.is_empty(), "{}", run.errors);
     assert_eq!(run.output.lines().last(), Some(r#"{"kind":"Ok","n":1}"#));
--- a/tests/adapter/support.rs
+++ b/tests/adapter/support.rs
@@ -93,13 +93,13 @@
 }
 
 /// Returns the frame of a finished attempt of instance 0.
-pub fn attempt_finished(id: u64, status: &str, further_keys: &str) -> String {
+pub fn attempt_finished(id: u64, status: &str, extra_keys: &str) -> String {
     format!(
-        r#"{{"kind":"Done","GatekeeperId":"gatekeeper_0","RequestId":{id},"Trial":0,"Worker":"worker.a","Ending":"{status}"{further_keys}}}"#
+        r#"{{"kind":"Done","GatekeeperId":"gatekeeper_0","RequestId":{id},"Trial":0,"Worker":"worker.a","Ending":"{status}"{extra_keys}}}"#
     )
 }
 
-/// Returns a frame of this kind for an instance, with further keys.
-pub fn frame(kind: &str, instance: u32, further_keys: &str) -> String {
-    format!(r#"{{"kind":"{kind}","GatekeeperId":"gatekeeper_{instance}"{further_keys}}}"#)
+/// Returns a frame of this kind for an instance, with extra keys.
+pub fn frame(kind: &str, instance: u32, extra_keys: &str) -> String {
+    format!(r#"{{"kind":"{kind}","GatekeeperId":"gatekeeper_{instance}"{extra_keys}}}"#)
 }
