--- a/examples/decision_digest/scenario/defaults.rs
+++ b/examples/decision_digest/scenario/defaults.rs
@@ -6,9 +6,9 @@
     Timestamp, Tokens, TokensPerSecond,
 };
 use marlshelf_simulation::{
-    EndpointIndex, EndpointNames, EndpointPool, EndpointWeights, Fault, FleetScenario, GatewayHost,
-    GossipNetwork, Incident, PlannedIncident, ResponseDelays, ResponseReports, ServiceModel,
-    SlowStart, Tampering, TenantTraffic,
+    EndpointIndex, EndpointNames, EndpointPool, EndpointWeights, Fault, FleetScenario,
+    GossipNetwork, HostFaults, Incident, PlannedIncident, ResponseDelays, ResponseReports,
+    ServiceModel, SlowStart, Tampering, TenantTraffic,
 };
 
 /// How endpoints warm up. The gateways are configured accordingly.
@@ -160,7 +160,7 @@
         fleet: FleetScenario {
             settings: settings(gateway_count, plan_scale),
             gateway_zones: 2,
-            host: GatewayHost {
+            host_faults: HostFaults {
                 max_timer_lead: Milliseconds::ZERO,
                 abort_ratio: 0.003,
             },
--- a/examples/decision_digest/scenario/small_fleets.rs
+++ b/examples/decision_digest/scenario/small_fleets.rs
@@ -115,7 +115,7 @@
 fn three_early_timers() -> Scenario {
     let mut scenario = base("three-early-timers", 3, 1.0);
     scenario.seeds = vec![1, 2, 3, 4];
-    scenario.fleet.host.max_timer_lead = Milliseconds(0.12);
+    scenario.fleet.host_faults.max_timer_lead = Milliseconds(0.12);
     scenario.fleet.gossip.loss_ratio = 0.2;
     for class in &mut scenario.fleet.settings.classes {
         class.late_answer_weight = 0.5;
--- a/simulation/src/clients/mod.rs
+++ b/simulation/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: which requests they send when, how long they wait, and whether they retry.
+//! Client models: request arrivals, deadlines, disconnects and retries.
 
 pub mod scheduled;
 pub mod tenants;
@@ -6,42 +6,43 @@
 use marlshelf::{ClassIndex, GatewayId, Milliseconds, PlanIndex, TenantName, Timestamp, Tokens};
 use rand_pcg::Pcg64Mcg;
 
-/// The gateways that receive a tenant's requests.
+/// The range of gateways that receive a tenant's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shard {
-    /// The first gateway.
+    /// First gateway of the range. The range wraps around after the last gateway of the fleet.
     pub start: GatewayId,
-    /// The number of gateways; 0 stands for all.
+    /// Number of gateways in the range. 0 means all gateways of the fleet.
     pub size: u32,
 }
 
-/// A request as a client sends it.
+/// A request as sent by a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The tenant.
+    /// Name of the tenant that the request is charged to.
     pub tenant: TenantName,
-    /// The index of the tenant among those of the scenario.
+    /// Index of the tenant in the scenario.
     pub tenant_index: usize,
-    /// The gateways that receive the tenant's requests.
+    /// Shard of the tenant.
     pub shard: Shard,
-    /// The index of the class, which may not exist.
+    /// Request class. The index may be out of range, to test that the gateway rejects such requests.
     pub class: ClassIndex,
-    /// The index of the plan, which may not exist.
+    /// Plan of the tenant. The index may be out of range, to test that the gateway rejects such requests.
     pub plan: PlanIndex,
-    /// The cost that the request states.
+    /// Cost estimate that the request carries.
     pub cost: Tokens,
-    /// The cost that the response states. Without it the endpoint decides.
+    /// Cost reported by a successful response. If it is `None`, the endpoint decides whether to report a
+    /// cost.
     pub actual_cost: Option<Tokens>,
-    /// What it takes an endpoint to serve it, as a multiple of the endpoint's service time.
+    /// Service time of the request, as a multiple of the endpoint's service time.
     pub work: f64,
-    /// How often the client has sent it before.
+    /// Number of times that the client has already sent the request.
     pub retries: u32,
-    /// The gateway that receives it.
+    /// Gateway that the client sends the request to.
     pub gateway: GatewayId,
 }
 
 impl ClientRequest {
-    /// A request of one token and work 1 to this gateway, whose tenant uses no other.
+    /// Returns a request of tenant 0 to `gateway`, with cost 1, work 1 and a shard of only that gateway.
     #[must_use]
     pub fn to_gateway(gateway: GatewayId) -> ClientRequest {
         ClientRequest {
@@ -62,46 +63,46 @@
     }
 }
 
-/// One of several independent sequences of arrivals, numbered from 0.
+/// Index of an independent sequence of arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalSource(pub usize);
 
-/// An arrival whose time has come.
+/// One arrival from an [`ArrivalSource`].
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The request. There is none if its tenant is idle.
+    /// The request that arrives. `None` if the chosen tenant is idle.
     pub request: Option<ClientRequest>,
-    /// The time of the next arrival from the same source.
+    /// Time of the next arrival from the same source. `None` if this is the last one.
     pub next_at: Option<Timestamp>,
 }
 
-/// How long a client waits for an answer.
+/// How long a client waits for a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientDeadline {
-    /// The deadline that the request states.
+    /// Deadline that the request carries.
     pub deadline: Timestamp,
-    /// When it disconnects if it has no answer by then. Without it, it stays connected.
+    /// Time at which the client disconnects if it has received no response. `None` if it never disconnects.
     pub disconnect_at: Option<Timestamp>,
 }
 
-/// A request that a client will send again.
+/// A retry that a client has scheduled.
 #[derive(Clone, Debug)]
 pub struct ClientRetry {
-    /// When it reaches its gateway.
+    /// Time at which the retry reaches its gateway.
     pub at: Timestamp,
-    /// The request.
+    /// The request to send, with an incremented [`ClientRequest::retries`].
     pub request: ClientRequest,
 }
 
-/// All clients of a fleet. Random numbers are drawn only from `random`.
+/// Model of all clients of a fleet. Implementations draw random numbers only from `random`.
 pub trait Clients {
-    /// The time of the first arrival from each source, in the order of the sources.
+    /// Returns the time of the first arrival from each source, indexed by [`ArrivalSource`].
     fn first_arrivals(&mut self, random: &mut Pcg64Mcg) -> Vec<Timestamp>;
 
-    /// The time of an arrival from this source has come.
+    /// Returns the arrival from `source` that is due now. The fleet calls this at each arrival time.
     fn arrive(&mut self, source: ArrivalSource, now: Timestamp, random: &mut Pcg64Mcg) -> Arrival;
 
-    /// How long the client of a request that is sent now waits.
+    /// Returns how long the client waits for a response to a request that it sends now.
     fn client_deadline(
         &mut self,
         request: &ClientRequest,
@@ -109,8 +110,11 @@
         random: &mut Pcg64Mcg,
     ) -> ClientDeadline;
 
-    /// The client's retry after a final answer other than a success, if the client retries at all.
-    #[expect(unused_variables, reason = "the default does nothing")]
+    /// Returns the client's retry of a rejected or failed request, or `None` if the client gives up.
+    #[expect(
+        unused_variables,
+        reason = "the default implementation ignores its arguments"
+    )]
     fn retry(
         &mut self,
         request: &ClientRequest,
--- a/simulation/src/clients/scheduled.rs
+++ b/simulation/src/clients/scheduled.rs
@@ -1,19 +1,19 @@
-//! Clients that send given requests at given times.
+//! Clients that follow a fixed schedule of requests.
 
 use super::{Arrival, ArrivalSource, ClientDeadline, ClientRequest, Clients};
 use marlshelf::{Milliseconds, Timestamp};
 use rand_pcg::Pcg64Mcg;
 
-/// A request and the time at which its gateway receives it.
+/// A request and its arrival time.
 #[derive(Clone, Debug)]
 pub struct ScheduledRequest {
-    /// The time.
+    /// Time at which the gateway receives the request.
     pub at: Timestamp,
-    /// The request.
+    /// The request, which names its gateway.
     pub request: ClientRequest,
 }
 
-/// Clients that send given requests, all wait the same time, and neither disconnect nor retry.
+/// Clients that follow a fixed schedule, use one timeout for all requests, and neither disconnect nor retry.
 #[derive(Clone, Debug)]
 pub struct ScheduledClients {
     requests: Vec<ScheduledRequest>,
@@ -21,7 +21,7 @@
 }
 
 impl ScheduledClients {
-    /// Clients that send these requests and state a deadline after `timeout`.
+    /// Creates clients that send `requests`, each with a deadline of `timeout` after its arrival.
     #[must_use]
     pub fn new(requests: Vec<ScheduledRequest>, timeout: Milliseconds) -> ScheduledClients {
         ScheduledClients { requests, timeout }
@@ -29,7 +29,7 @@
 }
 
 impl Clients for ScheduledClients {
-    /// Each request is a source of its own.
+    /// Treats each request as a separate arrival source.
     fn first_arrivals(&mut self, _random: &mut Pcg64Mcg) -> Vec<Timestamp> {
         self.requests.iter().map(|request| request.at).collect()
     }
--- a/simulation/src/clients/tenants.rs
+++ b/simulation/src/clients/tenants.rs
@@ -1,5 +1,5 @@
-//! Clients of many tenants that share one Poisson process of arrivals, with surges, idle periods, early disconnects and
-//! retries.
+//! Clients of many tenants, whose requests arrive in one Poisson process. The model includes surges, idle
+//! periods, early disconnects and retries.
 
 use super::{Arrival, ArrivalSource, ClientDeadline, ClientRequest, ClientRetry, Clients, Shard};
 use marlshelf::{
@@ -9,71 +9,73 @@
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
 
-/// When the first new request arrives.
+/// Time of the first arrival.
 const FIRST_ARRIVAL: Timestamp = Timestamp(1.0);
-/// The number of tenants that keep sending while the others are idle.
-const NEVER_IDLE_TENANTS: usize = 4;
-/// How long a tenant prefers the same gateway.
+/// Number of tenants that stay active during an idle period.
+const ALWAYS_ACTIVE_TENANTS: usize = 4;
+/// Time after which a tenant's preferred gateway changes.
 const STICKY_PERIOD: Milliseconds = Milliseconds(4000.0);
-/// How far apart two consecutive preferred gateways of a tenant are.
+/// Distance, in gateways, from one preferred gateway of a tenant to the next.
 const STICKY_STEP: u32 = 7;
-/// How often a client sends a request at most, its retries included.
+/// Maximum number of times that a client sends a request, including retries.
 const MAX_SENDS: u32 = 3;
-/// The longest retry delay that a client accepts from a gateway.
+/// Upper limit on the retry delay that a client takes from a gateway's response.
 const MAX_RETRY_AFTER: Milliseconds = Milliseconds(5000.0);
-/// The range, in milliseconds, of what a client adds to the retry delay.
+/// Range of the random delay that a client adds before a retry, in milliseconds.
 const RETRY_JITTER_MS: Range<f64> = 30.0..300.0;
-/// The latency objective on which a client's deadline depends if its class does not exist.
+/// Latency objective used for requests whose class does not exist.
 const DEFAULT_LATENCY_OBJECTIVE: Milliseconds = Milliseconds(500.0);
-/// The range of a client's timeout, as a multiple of the latency objective.
-const TIMEOUT_OBJECTIVES: Range<f64> = 0.8..2.5;
-/// The latest time of an early disconnect, as a multiple of the latency objective.
-const LATEST_EARLY_DISCONNECT: f64 = 1.5;
-/// How long after its deadline a client disconnects.
+/// Range of the client timeout, as a multiple of the latency objective.
+const TIMEOUT_FACTOR: Range<f64> = 0.8..2.5;
+/// Upper bound of the time until an early disconnect, as a multiple of the latency objective.
+const MAX_EARLY_DISCONNECT_FACTOR: f64 = 1.5;
+/// Time from a client's deadline to its disconnect.
 const DISCONNECT_DELAY: Milliseconds = Milliseconds(5.0);
-/// The smallest cost of a request, in tokens.
+/// Minimum cost of a request, in tokens.
 const MIN_COST: f64 = 0.5;
-/// The least upper bound of the costs, for settings that allow smaller ones only.
-const LEAST_MAX_COST: Tokens = Tokens(1.0);
+/// Upper bound of request costs if the settings specify a lower one.
+const MIN_MAX_COST: Tokens = Tokens(1.0);
 
-/// A period with more requests than usual.
+/// A period with a higher request rate.
 #[derive(Clone, Debug)]
 pub struct Surge {
-    /// When it begins and ends.
+    /// Start and end of the surge.
     pub period: Range<Timestamp>,
-    /// The factor on the request rate.
+    /// Factor by which the request rate is multiplied.
     pub factor: f64,
 }
 
-/// A period in which all tenants but the first few send nothing.
+/// A period in which all tenants except the first four send nothing.
 #[derive(Clone, Debug)]
 pub struct IdlePeriod {
-    /// When it begins, and when the first idle tenant would send again.
+    /// Start of the idle period, and the time from which the tenants return one after another.
     pub period: Range<Timestamp>,
-    /// The time from the return of one tenant to the return of the next.
+    /// Tenant `k` returns `k` intervals after the end of `period`.
     pub return_interval: Milliseconds,
 }
 
-/// What the clients do.
+/// Parameters of the generated traffic. Ratios are between 0 and 1.
 #[derive(Clone, Debug)]
 pub struct TenantTraffic {
-    /// The number of tenants; tenant `k` has plan `k % plans`.
+    /// Number of tenants. Tenant `k` has plan `k % plans`.
     pub tenants: usize,
-    /// Requests per second of all tenants together, without client retries.
+    /// Request rate of all tenants together, without retries.
     pub requests_per_second: f64,
-    /// A period of more requests.
+    /// Period with a higher request rate.
     pub surge: Option<Surge>,
-    /// A period in which most tenants are idle.
+    /// Period in which most tenants are idle.
     pub idle: Option<IdlePeriod>,
-    /// The shard sizes of the tenants, assigned in turn; 0 stands for all gateways.
+    /// Shard sizes, assigned round-robin: each size to one tenant of every plan in turn. 0 means all
+    /// gateways.
     pub shard_sizes: Vec<u32>,
-    /// The fraction of requests that go to the gateway which the tenant currently prefers.
+    /// Fraction of requests sent to the tenant's preferred gateway. The others go to a random one of its
+    /// shard.
     pub sticky_ratio: f64,
-    /// The fraction of clients that disconnect early.
+    /// Fraction of clients that disconnect early.
     pub disconnect_ratio: f64,
-    /// The fraction of clients that retry after a final answer other than a success.
+    /// Fraction of clients that retry a rejected or failed request.
     pub retry_ratio: f64,
-    /// The fraction of requests whose class or plan does not exist.
+    /// Fraction of requests with a class or plan that does not exist.
     pub invalid_ratio: f64,
 }
 
@@ -83,7 +85,7 @@
     shard: Shard,
 }
 
-/// Clients of many tenants.
+/// Generates the traffic that a [`TenantTraffic`] describes.
 pub struct TenantClients {
     tenants: Vec<Tenant>,
     gateway_count: u32,
@@ -93,7 +95,8 @@
 }
 
 impl TenantClients {
-    /// The clients of a fleet with these settings. The shards of the tenants are drawn from `random`.
+    /// Creates the clients of a fleet with these settings. Draws the first gateway of each shard from
+    /// `random`.
     #[must_use]
     pub fn new(
         traffic: &TenantTraffic,
@@ -117,12 +120,12 @@
             tenants,
             gateway_count: settings.gateway_count,
             latency_objectives: objectives.collect(),
-            max_cost: settings.max_request_cost.max(LEAST_MAX_COST),
+            max_cost: settings.max_request_cost.max(MIN_MAX_COST),
             traffic: traffic.clone(),
         }
     }
 
-    /// The time from one new request to the next.
+    /// Draws the time until the next arrival from an exponential distribution.
     fn arrival_interval(&self, now: Timestamp, random: &mut Pcg64Mcg) -> Milliseconds {
         let factor = match &self.traffic.surge {
             Some(surge) if surge.period.contains(&now) => surge.factor,
@@ -132,9 +135,9 @@
         Milliseconds(-1000.0 / requests_per_second * (1.0 - random.random::<f64>()).ln())
     }
 
-    /// A new request, unless its tenant is idle.
+    /// Draws a new request. Returns `None` if its tenant is idle.
     fn new_request(&self, now: Timestamp, random: &mut Pcg64Mcg) -> Option<ClientRequest> {
-        // Tenants of low numbers send more.
+        // Tenants with a low index send more requests: the index grows with the square of the random number.
         let tenant_index = (self.tenants.len() as f64 * random.random::<f64>().powi(2)) as usize;
         let tenant = &self.tenants[tenant_index];
         let class_count = self.latency_objectives.len();
@@ -168,10 +171,10 @@
             return false;
         };
         let returns_at = idle.period.end + idle.return_interval * tenant as f64;
-        tenant >= NEVER_IDLE_TENANTS && (idle.period.start..returns_at).contains(&now)
+        tenant >= ALWAYS_ACTIVE_TENANTS && (idle.period.start..returns_at).contains(&now)
     }
 
-    /// The gateway that receives the next request of a tenant with this shard.
+    /// Selects the gateway of a request: the one that the tenant prefers now, or a random one of its shard.
     fn select_gateway(&self, shard: Shard, now: Timestamp, random: &mut Pcg64Mcg) -> GatewayId {
         let shard_size = if shard.size == 0 {
             self.gateway_count
@@ -200,7 +203,7 @@
         }
     }
 
-    /// A client disconnects shortly after its deadline, or early.
+    /// Draws the deadline. The client disconnects shortly after its deadline, or early at a random time.
     fn client_deadline(
         &mut self,
         request: &ClientRequest,
@@ -209,10 +212,10 @@
     ) -> ClientDeadline {
         let objective = self.latency_objectives.get(request.class.0);
         let objective = objective.copied().unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
-        let deadline = now + objective * random.random_range(TIMEOUT_OBJECTIVES);
+        let deadline = now + objective * random.random_range(TIMEOUT_FACTOR);
         let is_early = random.random::<f64>() < self.traffic.disconnect_ratio;
         let disconnect_at = if is_early {
-            let latest = objective * LATEST_EARLY_DISCONNECT;
+            let latest = objective * MAX_EARLY_DISCONNECT_FACTOR;
             now + Milliseconds(random.random_range(0.0..latest.as_f64()))
         } else {
             deadline + DISCONNECT_DELAY
@@ -230,13 +233,13 @@
         now: Timestamp,
         random: &mut Pcg64Mcg,
     ) -> Option<ClientRetry> {
-        let is_willing = random.random::<f64>() < self.traffic.retry_ratio;
+        let is_selected = random.random::<f64>() < self.traffic.retry_ratio;
         let retries = request.retries + 1;
-        if !is_willing || retries >= MAX_SENDS {
+        if !is_selected || retries >= MAX_SENDS {
             return None;
         }
-        let pause = retry_after.min(MAX_RETRY_AFTER);
-        let at = now + pause + Milliseconds(random.random_range(RETRY_JITTER_MS));
+        let delay = retry_after.min(MAX_RETRY_AFTER);
+        let at = now + delay + Milliseconds(random.random_range(RETRY_JITTER_MS));
         let request = ClientRequest {
             retries,
             gateway: self.select_gateway(request.shard, at, random),
--- a/simulation/src/endpoint/mod.rs
+++ b/simulation/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated endpoints: a few cores, a bounded queue, slow start after a restart, and faults.
+//! Endpoint model with a number of cores, a bounded queue, slow start after a restart, and faults.
 
 pub mod pool;
 
@@ -11,45 +11,46 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// How much slower each hardware kind is than the one before, as a fraction of the service time of the first.
+/// Service time that each hardware kind adds to that of the previous kind, as a fraction of the first kind's.
 const SLOWDOWN_PER_HARDWARE_KIND: f64 = 0.4;
-/// The least fraction of its capacity that an endpoint has, so that service times stay finite.
-const MIN_CAPACITY: f64 = 0.01;
+/// Lower bound of the capacity fraction, which keeps service times finite.
+const MIN_CAPACITY_FRACTION: f64 = 0.01;
 
-/// How an endpoint misbehaves.
+/// Fault of an endpoint. Fractions are between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It works correctly.
+    /// The endpoint works correctly.
     None,
-    /// It answers this fraction of requests with an immediate error.
+    /// The endpoint immediately responds to this fraction of requests with an error.
     Errors(f64),
-    /// It rejects every request because of overload.
+    /// The endpoint rejects all requests as overloaded.
     Overloaded,
-    /// It accepts no connections.
+    /// The endpoint accepts no connections.
     Unreachable,
-    /// It resets this fraction of connections after a short time.
+    /// The endpoint resets this fraction of connections shortly after it has received a request.
     Resets(f64),
-    /// It accepts requests and never answers.
+    /// The endpoint accepts requests and never responds.
     Silent,
 }
 
-/// How an endpoint's capacity grows after a start.
+/// Linear growth of an endpoint's capacity after a start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The fraction of the full capacity at the start.
+    /// Capacity at the start, as a fraction of the full capacity.
     pub initial_warmth: f64,
-    /// The time until the full capacity is reached.
+    /// Time from the start until the endpoint has its full capacity.
     pub warmup: Milliseconds,
 }
 
 impl SlowStart {
-    /// An endpoint that has its full capacity from the start.
+    /// Full capacity from the start.
     pub const NONE: SlowStart = SlowStart {
         initial_warmth: 1.0,
         warmup: Milliseconds::ZERO,
     };
 
-    /// The fraction of its full capacity that an endpoint has reached. A start at time 0 was long ago.
+    /// Returns the capacity at time `now` as a fraction of the full capacity. An endpoint with the start time
+    /// 0 started before the simulation and is warm.
     #[must_use]
     pub fn warmup_fraction(&self, started_at: Timestamp, now: Timestamp) -> f64 {
         if started_at <= Timestamp::ZERO || self.warmup <= Milliseconds::ZERO {
@@ -60,20 +61,20 @@
     }
 }
 
-/// How an endpoint serves requests.
+/// Capacity and latency of an endpoint.
 #[derive(Clone, Debug)]
 pub struct ServiceModel {
-    /// The number of requests that it processes at a time.
+    /// Number of requests that the endpoint processes concurrently. Must not be 0.
     pub cores: usize,
-    /// The number of requests that may wait.
+    /// Number of requests that can wait for a core. The endpoint rejects requests beyond it.
     pub queue_capacity: usize,
-    /// The time that a request of work 1 takes on a core.
+    /// Time that a request with work 1 occupies a core of a warm endpoint.
     pub service_time: Milliseconds,
-    /// The range of the random factor on each service time. Without it no random numbers are drawn for it.
+    /// Range of a random factor on each service time. If it is `None`, no random numbers are drawn for it.
     pub service_time_variation: Option<Range<f64>>,
-    /// How capacity grows after a start.
+    /// Growth of the capacity after a start.
     pub slow_start: SlowStart,
-    /// The delays of responses.
+    /// Delays other than service times.
     pub delays: ResponseDelays,
 }
 
@@ -90,41 +91,41 @@
     }
 }
 
-/// When and how an attempt ends.
+/// Time and result of the end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The time of the end; [`Timestamp::DISTANT_FUTURE`] if the endpoint never responds.
+    /// Time of the end. [`Timestamp::DISTANT_FUTURE`] if the endpoint never responds.
     pub at: Timestamp,
-    /// The result.
+    /// Result that the gateway will see, unless the attempt times out or is aborted first.
     pub result: AttemptResult,
 }
 
 impl AttemptEnd {
-    /// An end at this time with this result.
+    /// Creates an end at time `at`.
     #[must_use]
     pub fn at(at: Timestamp, result: AttemptResult) -> AttemptEnd {
         AttemptEnd { at, result }
     }
 }
 
-/// One endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
 pub struct SimulatedEndpoint {
-    /// Its entry in the endpoint list.
+    /// Entry in the endpoint list that discovery sends to gateways.
     pub entry: Endpoint,
-    /// Its current fault.
+    /// Current fault. A restart of the endpoint ends it.
     pub fault: Fault,
-    /// A factor on all its service times.
+    /// Factor on all service times. A restart of the endpoint resets it to 1.
     pub slowdown: f64,
     service: ServiceModel,
     core_idle_at: Vec<Timestamp>,
-    /// When each request in flight will be completed.
+    /// Completion times of the requests in flight.
     completions: Vec<Timestamp>,
     received: Vec<ReceivedWork>,
 }
 
 impl SimulatedEndpoint {
-    /// Endpoint number `index` of the pool.
+    /// Creates an endpoint of the pool. Its zone, cell, hardware kind and weight depend on `index`.
     #[must_use]
     pub fn new(
         pool: &EndpointPool,
@@ -157,13 +158,13 @@
         }
     }
 
-    /// When its process last started; [`Timestamp::ZERO`] if it has run since before the simulation.
+    /// Returns the time of the last start, or [`Timestamp::ZERO`] if it was before the simulation.
     #[must_use]
     pub fn started_at(&self) -> Timestamp {
         self.entry.started_at
     }
 
-    /// The fraction of its full capacity that it has reached since its last start.
+    /// Returns the capacity at time `now`, as a fraction of the full capacity.
     #[must_use]
     pub fn warmup_fraction(&self, now: Timestamp) -> f64 {
         self.service
@@ -171,23 +172,24 @@
             .warmup_fraction(self.started_at(), now)
     }
 
-    /// All work that reached its current process, in the order of arrival. It includes rejected requests.
+    /// Returns the work that arrived since the last start, in order of arrival. It includes requests that the
+    /// endpoint rejected because its queue was full.
     #[must_use]
     pub fn received(&self) -> &[ReceivedWork] {
         &self.received
     }
 
-    /// The work that reached its current process in a period, which doesn't include its end.
+    /// Returns the sum of the work that arrived from `start` until before `end`, and since the last start.
     #[must_use]
     pub fn work_received_between(&self, start: Timestamp, end: Timestamp) -> f64 {
         let is_within = |received: &&ReceivedWork| (start..end).contains(&received.at);
         self.received.iter().filter(is_within).map(|r| r.work).sum()
     }
 
-    /// Accepts an attempt that arrives now, and computes when and how it ends.
+    /// Processes an attempt that arrives at time `now`, and returns when and how it ends.
     ///
     /// # Panics
-    /// When the endpoint has no cores.
+    /// Panics if the endpoint has no cores.
     pub fn serve(&mut self, now: Timestamp, work: f64, random: &mut impl Rng) -> AttemptEnd {
         if let Some(end) = self.failure(now, random) {
             return end;
@@ -197,8 +199,8 @@
             let at = now + self.service.delays.rejection;
             return AttemptEnd::at(at, AttemptResult::Overloaded);
         }
-        let capacity = self.warmup_fraction(now).max(MIN_CAPACITY);
-        let service_time = self.service.service_time * work * self.slowdown / capacity;
+        let capacity_fraction = self.warmup_fraction(now).max(MIN_CAPACITY_FRACTION);
+        let service_time = self.service.service_time * work * self.slowdown / capacity_fraction;
         let variation = self.service.service_time_variation.clone();
         let variation = variation.map_or(1.0, |range| random.random_range(range));
         let core_idle_at = self
@@ -211,7 +213,7 @@
         AttemptEnd::at(*core_idle_at, AttemptResult::Success)
     }
 
-    /// The end of an attempt that fails because of a fault or the removal of the endpoint.
+    /// Returns the end of an attempt that fails because of a fault or because the endpoint was removed.
     fn failure(&self, now: Timestamp, random: &mut impl Rng) -> Option<AttemptEnd> {
         let fault_draw = random.random::<f64>();
         let delays = &self.service.delays;
@@ -238,13 +240,12 @@
         }
     }
 
-    /// The number of requests in flight.
     fn in_flight(&mut self, now: Timestamp) -> usize {
         self.completions.retain(|completed_at| *completed_at > now);
         self.completions.len()
     }
 
-    /// Its load report. Only endpoints of the first hardware kind state their utilization.
+    /// Returns the load report at time `now`. Only endpoints of the first hardware kind report utilization.
     pub fn load_report(&mut self, now: Timestamp) -> LoadReport {
         let in_flight = self.in_flight(now) as f64;
         let utilization = (in_flight / self.service.cores as f64).min(1.0);
@@ -255,7 +256,8 @@
         }
     }
 
-    /// Starts the endpoint's process again under the same name.
+    /// Restarts the endpoint under the same name. Clears its fault, slowdown, requests in flight and record
+    /// of received work.
     pub fn restart(&mut self, now: Timestamp) {
         self.entry.state = EndpointState::Ready;
         self.entry.started_at = now;
--- a/simulation/src/endpoint/pool.rs
+++ b/simulation/src/endpoint/pool.rs
@@ -1,73 +1,73 @@
-//! The endpoints of a fleet, as a scenario describes them.
+//! Configuration of a fleet's endpoints.
 
 use super::ServiceModel;
 use marlshelf::{Milliseconds, Timestamp};
 
-/// The endpoints of a fleet.
+/// Number and properties of a fleet's endpoints.
 #[derive(Clone, Debug)]
 pub struct EndpointPool {
-    /// The number of endpoints at the start.
+    /// Number of endpoints when the run starts.
     pub count: usize,
-    /// How they are named.
+    /// Naming scheme of the endpoints.
     pub names: EndpointNames,
-    /// Endpoint `k` runs in zone `k % zones`.
+    /// Number of zones. Endpoint `k` is in zone `k % zones`.
     pub zones: u32,
-    /// Endpoint `k` runs in cell `k % cells`.
+    /// Number of cells. Endpoint `k` is in cell `k % cells`.
     pub cells: u32,
-    /// Endpoint `k` is of hardware kind `k % hardware_kinds`; each kind is slower than the one before.
+    /// Number of hardware kinds. Endpoint `k` has kind `k % hardware_kinds`, and higher kinds are slower.
     pub hardware_kinds: u32,
-    /// The weights that the endpoint list states.
+    /// Weights in the endpoint list.
     pub weights: EndpointWeights,
-    /// How each endpoint of the first hardware kind serves requests.
+    /// Capacity and latency of endpoints with the first hardware kind.
     pub service: ServiceModel,
-    /// What the endpoints report with their responses.
+    /// Additional data in responses.
     pub reports: ResponseReports,
 }
 
-/// The names of endpoints. Gateways choose their subsets of the endpoints by the order of names.
+/// Naming scheme of endpoints. Gateways select their subsets of endpoints in the order of these names.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointNames {
-    /// The name of the endpoint with this index at the start.
+    /// Maps the index of an initial endpoint to its name.
     pub initial: fn(usize) -> String,
-    /// The name of an added endpoint like the one with the first index, where its own index is the second.
+    /// Maps the index of an existing endpoint and the index of its added copy to the name of the copy.
     pub added: fn(usize, usize) -> String,
 }
 
-/// The weights that the endpoint list states.
+/// Weights of endpoints in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointWeights {
     /// All weights are 1.
     Equal,
-    /// Weights from 1 to 2.
+    /// Weights are 1, 1.5 or 2.
     Varied,
-    /// Weights from 1 to 2 and others that are zero, negative, tiny or not a number.
+    /// One endpoint in five has a weight of 1, 1.5 or 2. The others have 0, NaN, -1 or 0.002.
     PartlyInvalid,
 }
 
-/// The time that passes before a gateway learns the end of an attempt.
+/// Delays until a gateway learns that an attempt has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseDelays {
-    /// Until a connection fails.
+    /// Time until a connection attempt fails.
     pub connect_failure: Milliseconds,
-    /// Until an endpoint rejects a request because of overload.
+    /// Time until an endpoint rejects a request as overloaded.
     pub rejection: Milliseconds,
-    /// Until an endpoint with [`Fault::Errors`](super::Fault::Errors) answers with an error.
+    /// Time until an endpoint with [`Fault::Errors`](super::Fault::Errors) responds with an error.
     pub error: Milliseconds,
-    /// Until an endpoint with [`Fault::Resets`](super::Fault::Resets) resets a connection.
+    /// Time until an endpoint with [`Fault::Resets`](super::Fault::Resets) resets a connection.
     pub reset: Milliseconds,
-    /// From any of these ends, or from the completion, to the gateway.
+    /// Additional time from any of these events, or from the completion of a request, to the gateway.
     pub network: Milliseconds,
-    /// From the deadline of an attempt to the time at which the gateway notices that it has passed.
+    /// Time from the deadline of an attempt until the gateway notices the timeout.
     pub timeout: Milliseconds,
 }
 
-/// What endpoints report with their responses.
+/// Additional data in responses of endpoints. Ratios are between 0 and 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseReports {
-    /// The fraction of responses that carry a load report and the metered use of the tenant.
+    /// Fraction of responses with a load report and the tenant's metered use.
     pub load_report_ratio: f64,
-    /// The fraction of successful responses that state a random actual cost. It applies to requests whose actual cost
-    /// the client doesn't define.
+    /// Fraction of successful responses with a random actual cost, among requests without
+    /// [`ClientRequest::actual_cost`](crate::ClientRequest::actual_cost).
     pub actual_cost_ratio: f64,
 }
 
@@ -75,7 +75,7 @@
     fn default() -> Self {
         EndpointNames {
             initial: |index| format!("endpoint-{index}"),
-            added: |like, index| format!("endpoint-{like}-{index}"),
+            added: |original, index| format!("endpoint-{original}-{index}"),
         }
     }
 }
@@ -94,7 +94,7 @@
 }
 
 impl Default for EndpointPool {
-    /// One endpoint without faults.
+    /// Returns a pool of one endpoint that reports no additional data.
     fn default() -> Self {
         EndpointPool {
             count: 1,
@@ -110,7 +110,6 @@
 }
 
 impl EndpointPool {
-    /// All endpoints at the start.
     pub(crate) fn initial_endpoints(&self) -> Vec<super::SimulatedEndpoint> {
         let endpoint = |index| {
             let name = (self.names.initial)(index).into();
@@ -119,7 +118,6 @@
         (0..self.count).map(endpoint).collect()
     }
 
-    /// The weight that the endpoint list states for an endpoint.
     pub(super) fn weight(&self, number: u32) -> f64 {
         let varied = 1.0 + 0.5 * f64::from(number % 3);
         match self.weights {
--- a/simulation/src/event_queue.rs
+++ b/simulation/src/event_queue.rs
@@ -1,25 +1,26 @@
-//! Virtual time: a queue of future events.
+//! Virtual time, as a priority queue of future events.
 
 use marlshelf::Timestamp;
 use std::collections::BTreeMap;
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// All events that have not happened yet, in the order of their times.
+/// Future events, ordered by time.
 ///
-/// Times are rounded down to whole microseconds. Events of the same microsecond keep the order in which they were
-/// scheduled, so that a run doesn't depend on the order of equal keys in a heap.
+/// Times are rounded down to whole microseconds. Events in the same microsecond occur in the order in which
+/// they were scheduled. A heap would not define the order of events with equal times, and runs would not be
+/// reproducible.
 pub struct EventQueue<T> {
     entries: BTreeMap<QueueKey, T>,
     last_serial: u64,
 }
 
-/// An event with its time.
+/// An event and the time at which it occurs.
 #[derive(Debug)]
 pub struct ScheduledEvent<T> {
-    /// When it happens.
+    /// Virtual time of the event, rounded down to whole microseconds.
     pub at: Timestamp,
-    /// What happens.
+    /// The value that was passed to [`EventQueue::schedule`].
     pub event: T,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Schedules an event.
+    /// Adds an event after all events of the same microsecond that are in the queue already.
     pub fn schedule(&mut self, at: Timestamp, event: T) {
         self.last_serial += 1;
         let key = QueueKey {
@@ -49,7 +50,7 @@
         self.entries.insert(key, event);
     }
 
-    /// Removes the next event.
+    /// Removes and returns the earliest event. Returns `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<ScheduledEvent<T>> {
         let (key, event) = self.entries.pop_first()?;
         let at = Timestamp(key.at_us as f64 / MICROSECONDS_PER_MILLISECOND);
--- a/simulation/src/fleet/attempts.rs
+++ b/simulation/src/fleet/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: requests that a gateway has forwarded to an endpoint.
+//! Execution of attempts, which are requests that a gateway forwards to an endpoint.
 
 use super::Fleet;
 use super::events::FleetEvent;
@@ -7,38 +7,35 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// The range of the actual cost of a request that an endpoint states, as a multiple of the estimated cost.
+/// Range of the actual cost that an endpoint reports, as a multiple of the estimated cost.
 const ACTUAL_COST_FACTOR: Range<f64> = 0.5..1.6;
 
-/// Identifies an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptId {
-    /// The request.
     pub request: RequestId,
-    /// The number of earlier attempts of the request.
+    /// Number of earlier attempts of the request.
     pub number: u32,
 }
 
 /// An attempt in flight.
 pub struct Attempt {
-    /// The number of earlier attempts of the request.
+    /// Number of earlier attempts of the request.
     pub number: u32,
-    /// The endpoint.
     pub endpoint: EndpointIndex,
     sent_at: Timestamp,
 }
 
-/// What an endpoint reports in its response.
+/// Additional data that an endpoint reports in its response.
 struct ResponseDetails {
     has_actual_cost: bool,
     /// Whether the response carries a load report and the metered use.
     has_report: bool,
-    /// The actual cost of the request as a multiple of its estimated cost.
+    /// Actual cost as a multiple of the estimated cost. It also serves as the metered use of the tenant.
     use_factor: f64,
 }
 
 impl ResponseDetails {
-    /// The actual cost that the response states for a request of this estimated cost.
+    /// Returns the reported actual cost, rounded to one decimal place.
     fn actual_cost(&self, estimated_cost: Tokens) -> Option<Tokens> {
         let actual_cost = (estimated_cost.as_f64() * self.use_factor * 10.0).round() / 10.0;
         self.has_actual_cost.then_some(Tokens(actual_cost))
@@ -46,7 +43,8 @@
 }
 
 impl<C: Clients, O: Observer> Fleet<'_, C, O> {
-    /// Starts an attempt, and schedules its end.
+    /// Starts an attempt and schedules its end. An attempt whose deadline has passed or whose client has
+    /// disconnected is never sent.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -66,7 +64,7 @@
             endpoint,
             sent_at: self.now,
         });
-        let end = if deadline <= self.now || !pending.client_waits {
+        let end = if deadline <= self.now || !pending.is_client_waiting {
             AttemptEnd::at(self.now, AttemptResult::NeverSent)
         } else {
             let work = pending.request.work;
@@ -80,7 +78,7 @@
         self.schedule(end.at, FleetEvent::AttemptEnd { attempt, result });
     }
 
-    /// Sends an attempt to its endpoint. Returns when and how it ends from the gateway's view.
+    /// Sends an attempt to its endpoint. Returns when and how it ends as seen by the gateway.
     fn send_attempt(
         &mut self,
         endpoint: EndpointIndex,
@@ -95,13 +93,14 @@
         } else {
             AttemptEnd::at(served.at + delays.network, served.result)
         };
-        self.host_abort(end.at).unwrap_or(end)
+        self.draw_host_abort(end.at).unwrap_or(end)
     }
 
-    /// The end of an attempt that the gateway's host aborts before its regular end.
-    fn host_abort(&mut self, regular_end: Timestamp) -> Option<AttemptEnd> {
+    /// Draws whether the gateway's host aborts an attempt before its regular end. Returns the end of an
+    /// aborted attempt: half of them are never sent, and the others are cancelled halfway through.
+    fn draw_host_abort(&mut self, regular_end: Timestamp) -> Option<AttemptEnd> {
         let random = self.randomness.stream(RandomStream::Host);
-        if random.random::<f64>() >= self.scenario.host.abort_ratio {
+        if random.random::<f64>() >= self.scenario.host_faults.abort_ratio {
             return None;
         }
         if random.random() {
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Ends an attempt, unless it has ended before, and notifies its gateway.
+    /// Ends an attempt and notifies its gateway. Does nothing if the attempt has already ended.
     pub(super) fn finish_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(pending) = self.pending.get_mut(&id.request) else {
             return;
@@ -123,11 +122,11 @@
             return;
         };
         if result == AttemptResult::Success {
-            pending.client_waits = false;
+            pending.is_client_waiting = false;
         }
         self.observer
             .on_attempt_end(self.now, id.request, &pending.request, result);
-        let request_ended = !pending.client_waits;
+        let request_ended = !pending.is_client_waiting;
         let gateway = pending.request.gateway;
         let gateway_incarnation = pending.gateway_incarnation;
         let defined_cost = pending.request.actual_cost;
@@ -153,7 +152,6 @@
         self.remove_if_completed(id.request);
     }
 
-    /// Draws what an endpoint reports in its response.
     fn draw_response_details(&mut self, result: AttemptResult) -> ResponseDetails {
         let reports = &self.scenario.endpoints.reports;
         let random = self.randomness.stream(RandomStream::Endpoints);
@@ -172,7 +170,7 @@
     }
 }
 
-/// The endpoint of this name that was added last.
+/// Returns the most recently added endpoint with this name.
 fn newest_endpoint(endpoints: &[SimulatedEndpoint], name: &EndpointName) -> EndpointIndex {
     let index = endpoints
         .iter()
--- a/simulation/src/fleet/client_requests.rs
+++ b/simulation/src/fleet/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival at a gateway to their final answer or the client's disconnect.
+//! Client requests, from arrival at a gateway to the final response or the client's disconnect.
 
 use super::Fleet;
 use super::attempts::Attempt;
@@ -6,22 +6,21 @@
 use crate::{ArrivalSource, ClientRequest, Clients, Observer, RandomStream};
 use marlshelf::{Event, Milliseconds, Request, RequestId};
 
-/// A request that a gateway has received and that is not completed.
+/// A request that a gateway has received and not completed.
 pub struct PendingRequest {
-    /// The request as its client sent it.
     pub request: ClientRequest,
-    /// The incarnation of the gateway that received it.
+    /// Incarnation of the gateway that received the request.
     pub gateway_incarnation: u32,
-    /// Whether the client is connected and has no final answer.
-    pub client_waits: bool,
-    /// The number of attempts so far.
+    /// Whether the client is connected and has not received a final response.
+    pub is_client_waiting: bool,
+    /// Number of attempts started so far.
     pub attempt_count: u32,
     /// The attempt in flight.
     pub attempt: Option<Attempt>,
 }
 
 impl<C: Clients, O: Observer> Fleet<'_, C, O> {
-    /// Receives the request that arrives from a source, and schedules the arrival of the next one.
+    /// Processes an arrival: passes its request to the gateway and schedules the next arrival of the source.
     pub(super) fn receive_arrival(&mut self, source: ArrivalSource) {
         let random = self.randomness.stream(RandomStream::Clients);
         let arrival = self.clients.arrive(source, self.now, random);
@@ -38,8 +37,8 @@
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
         let random = self.randomness.stream(RandomStream::Clients);
-        let wait = self.clients.client_deadline(&request, self.now, random);
-        if let Some(disconnect_at) = wait.disconnect_at {
+        let client_deadline = self.clients.client_deadline(&request, self.now, random);
+        if let Some(disconnect_at) = client_deadline.disconnect_at {
             self.schedule(disconnect_at, FleetEvent::ClientDisconnect(id));
         }
         self.observer.on_request(self.now, id, &request);
@@ -51,14 +50,14 @@
             cost: request.cost,
             shard_start: request.shard.start,
             shard_size: request.shard.size,
-            client_deadline: wait.deadline,
+            client_deadline: client_deadline.deadline,
             is_retry: request.retries > 0,
         });
         let gateway = request.gateway;
         let pending = PendingRequest {
             request,
             gateway_incarnation: self.gateway(gateway).incarnation,
-            client_waits: true,
+            is_client_waiting: true,
             attempt_count: 0,
             attempt: None,
         };
@@ -66,26 +65,26 @@
         self.notify(gateway, event);
     }
 
-    /// Disconnects a client. Its endpoint continues with the attempt in flight.
+    /// Disconnects a client. The endpoint still completes the attempt in flight.
     pub(super) fn disconnect_client(&mut self, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        if !pending.client_waits {
+        if !pending.is_client_waiting {
             return;
         }
-        pending.client_waits = false;
+        pending.is_client_waiting = false;
         let gateway = pending.request.gateway;
         self.notify(gateway, Event::ClientDisconnected { request: id });
         self.remove_if_completed(id);
     }
 
-    /// Gives a client its final answer, after which it may retry.
+    /// Sends a client the final response that its request was rejected or failed. The client may retry.
     pub(super) fn answer_client(&mut self, id: RequestId, retry_after: Milliseconds) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        pending.client_waits = false;
+        pending.is_client_waiting = false;
         let random = self.randomness.stream(RandomStream::Clients);
         let retry = self
             .clients
@@ -99,7 +98,7 @@
     /// Removes a request whose client no longer waits and that has no attempt in flight.
     pub(super) fn remove_if_completed(&mut self, id: RequestId) {
         if let Some(pending) = self.pending.get(&id)
-            && !pending.client_waits
+            && !pending.is_client_waiting
             && pending.attempt.is_none()
         {
             self.pending.remove(&id);
--- a/simulation/src/fleet/events.rs
+++ b/simulation/src/fleet/events.rs
@@ -1,47 +1,36 @@
-//! The events of a simulated fleet.
+//! Events in the queue of a simulated fleet.
 
 use super::attempts::AttemptId;
 use crate::{ArrivalSource, ClientRequest, Datagram, EndpointIndex};
 use marlshelf::{AttemptResult, Endpoint, EndpointListKind, GatewayId, RequestId, TimerToken};
 
-/// An event that a fleet handles at its time.
 pub enum FleetEvent {
-    /// The next new request from this source arrives.
     Arrival(ArrivalSource),
-    /// A client retries.
     ClientRetry(ClientRequest),
-    /// A client disconnects, if its request is still unanswered.
+    /// A client disconnects. The event is ignored if the request has its final response.
     ClientDisconnect(RequestId),
-    /// An attempt ends.
     AttemptEnd {
-        /// The attempt.
         attempt: AttemptId,
-        /// Its result.
         result: AttemptResult,
     },
-    /// A gossip datagram reaches a gateway.
+    /// A gossip datagram arrives at a gateway.
     Gossip(Datagram),
-    /// A timer of a gateway fires.
+    /// A timer fires. The event is ignored if the gateway has restarted since it set the timer.
     Timer {
-        /// The gateway.
         gateway: GatewayId,
-        /// The incarnation of the gateway that set the timer.
+        /// Incarnation of the gateway that set the timer.
         incarnation: u32,
-        /// The gateway's token for the timer.
         token: TimerToken,
     },
-    /// A list of endpoints reaches a gateway.
+    /// An endpoint list from discovery arrives at a gateway.
     EndpointList {
-        /// The gateway.
         gateway: GatewayId,
-        /// Whether the entries are all endpoints or only the changed ones.
         kind: EndpointListKind,
-        /// The entries of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// The planned incident with this index happens.
+    /// Index into [`FleetScenario::incidents`](crate::FleetScenario::incidents).
     PlannedIncident(usize),
-    /// A draining endpoint is removed.
+    /// A draining endpoint has completed its drain time and is removed.
     EndpointDrained(EndpointIndex),
     /// A restarted endpoint is ready again.
     EndpointStarted(EndpointIndex),
--- a/simulation/src/fleet/incidents.rs
+++ b/simulation/src/fleet/incidents.rs
@@ -1,4 +1,4 @@
-//! Incidents of a scenario, and the endpoint lists and health checks through which gateways learn of them.
+//! Execution of incidents, and the endpoint lists and health checks that inform gateways about them.
 
 use super::Fleet;
 use super::attempts::AttemptId;
@@ -10,16 +10,15 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// The time from the exit of an endpoint's process to the start of the next one.
+/// Time from the exit of an endpoint's process until the restarted process is ready.
 const RESTART_TIME: Milliseconds = Milliseconds(1000.0);
-/// The time from the start of an endpoint's drain to its removal.
+/// Time from the start of an endpoint's drain to its removal.
 const DRAIN_TIME: Milliseconds = Milliseconds(3000.0);
-/// The range, in milliseconds, of the delay after which a gateway learns of a changed endpoint.
+/// Range of the delay until a gateway learns of an endpoint change, in milliseconds.
 const DISCOVERY_DELAY_MS: Range<f64> = 5.0..100.0;
 
 impl<C: Clients, O: Observer> Fleet<'_, C, O> {
-    /// Causes an incident now.
-    pub(super) fn cause(&mut self, incident: Incident) {
+    pub(super) fn apply_incident(&mut self, incident: Incident) {
         match incident {
             Incident::Drain(index) => {
                 self.endpoints[index.0].entry.state = EndpointState::Draining;
@@ -27,7 +26,7 @@
                 self.schedule(self.now + DRAIN_TIME, FleetEvent::EndpointDrained(index));
             }
             Incident::Remove(index) => self.remove_endpoint(index),
-            Incident::Add(like) => self.add_endpoint(like),
+            Incident::Add(original) => self.add_endpoint(original),
             Incident::Replace(index) => {
                 self.remove_endpoint(index);
                 self.add_endpoint(index);
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Sends all gateways the endpoint list, without the removed endpoints.
+    /// Sends the endpoint list to all gateways, without removed endpoints.
     pub(super) fn send_snapshot(&mut self) {
         let entries = self.endpoints.iter().map(|endpoint| &endpoint.entry);
         let endpoints: Vec<Endpoint> = entries
@@ -53,12 +52,11 @@
             .cloned()
             .collect();
         for gateway in self.gateway_ids() {
-            self.send_list(gateway, endpoints.clone());
+            self.send_snapshot_to(gateway, endpoints.clone());
         }
     }
 
-    /// Sends a gateway a snapshot with these endpoints.
-    fn send_list(&mut self, gateway: GatewayId, endpoints: Vec<Endpoint>) {
+    fn send_snapshot_to(&mut self, gateway: GatewayId, endpoints: Vec<Endpoint>) {
         let event = FleetEvent::EndpointList {
             gateway,
             kind: EndpointListKind::Snapshot,
@@ -67,7 +65,7 @@
         self.schedule(self.now, event);
     }
 
-    /// Notifies all gateways of a changed endpoint, each after a delay of its own.
+    /// Notifies all gateways of a changed endpoint, each after a separate random delay.
     pub(super) fn send_endpoint_change(&mut self, endpoint: EndpointIndex) {
         let entry = self.endpoints[endpoint.0].entry.clone();
         for gateway in self.gateway_ids() {
@@ -82,23 +80,23 @@
         }
     }
 
-    /// Removes an endpoint. It still completes its attempts in flight.
+    /// Removes an endpoint, which still completes its attempts in flight.
     pub(super) fn remove_endpoint(&mut self, index: EndpointIndex) {
         self.endpoints[index.0].entry.state = EndpointState::Removed;
         self.send_endpoint_change(index);
     }
 
-    /// Adds an endpoint like another one under a new name.
-    fn add_endpoint(&mut self, like: EndpointIndex) {
+    /// Adds a copy of an endpoint under a new name.
+    fn add_endpoint(&mut self, original: EndpointIndex) {
         let pool = &self.scenario.endpoints;
         let index = EndpointIndex(self.endpoints.len());
-        let name = (pool.names.added)(like.0, index.0).into();
-        let endpoint = SimulatedEndpoint::new(pool, like.0, name, self.now);
+        let name = (pool.names.added)(original.0, index.0).into();
+        let endpoint = SimulatedEndpoint::new(pool, original.0, name, self.now);
         self.endpoints.push(endpoint);
         self.send_endpoint_change(index);
     }
 
-    /// Checks the health of an endpoint, which succeeds for gateways of even numbers only.
+    /// Sends all gateways a health check result, which is a success only for gateways with an even id.
     fn check_health(&mut self, index: EndpointIndex) {
         let endpoint = &mut self.endpoints[index.0];
         let name = endpoint.entry.name.clone();
@@ -113,7 +111,7 @@
         }
     }
 
-    /// Resets the connections of all attempts at an endpoint.
+    /// Resets the connections of all attempts in flight at an endpoint.
     fn reset_attempts(&mut self, index: EndpointIndex) {
         let attempts: Vec<AttemptId> = self
             .pending
@@ -131,15 +129,15 @@
         }
     }
 
-    /// Restarts a gateway. It loses its state and its requests, which are never answered.
+    /// Restarts a gateway. The gateway loses its state, and its pending requests never get a response.
     fn restart_gateway(&mut self, id: GatewayId) {
         let incarnation = self.gateway(id).incarnation + 1;
         self.gateways[id.0 as usize] = self.start_gateway(id, incarnation);
         self.pending
             .retain(|_, pending| pending.request.gateway != id);
-        // Unlike other snapshots, this one includes the removed endpoints, with that state.
+        // Unlike other snapshots, this one includes the removed endpoints, in the state `Removed`.
         let entries = self.endpoints.iter().map(|endpoint| endpoint.entry.clone());
         let endpoints = entries.collect();
-        self.send_list(id, endpoints);
+        self.send_snapshot_to(id, endpoints);
     }
 }
--- a/simulation/src/fleet/mod.rs
+++ b/simulation/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated fleet: gateways, and all that surrounds them.
+//! Event loop of a simulated fleet, which connects the gateways to their environment.
 //!
-//! The fleet carries out the actions of each decision engine as the gateway's host does. The order in which random
-//! numbers are drawn is part of the expected results of tests and tools.
+//! The fleet executes the actions of each decision engine as a real gateway process does. The expected
+//! results of tests and tools depend on the order in which random numbers are drawn, so keep that order.
 
 mod attempts;
 mod client_requests;
@@ -21,14 +21,13 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// One gateway.
 struct Gateway {
     engine: DecisionEngine,
-    /// The number of its restarts.
+    /// Number of restarts so far.
     incarnation: u32,
 }
 
-/// A fleet in virtual time.
+/// A simulated fleet before its run. [`Fleet::run`] consumes it.
 pub struct Fleet<'a, C, O> {
     scenario: &'a FleetScenario,
     clients: C,
@@ -42,21 +41,22 @@
     next_request_id: u64,
 }
 
-/// What is left of a fleet after its run.
+/// State of a fleet after its run.
 pub struct FleetRun<C, O> {
-    /// The clients.
+    /// Clients in their final state.
     pub clients: C,
-    /// The observer, with all that it has recorded.
+    /// Observer with its records of the run.
     pub observer: O,
-    /// All endpoints, also removed ones, in the order of their indexes.
+    /// Endpoints in their final state, including removed ones, indexed by
+    /// [`EndpointIndex`](crate::EndpointIndex).
     pub endpoints: Vec<SimulatedEndpoint>,
 }
 
 impl<'a, C: Clients, O: Observer> Fleet<'a, C, O> {
-    /// A fleet that starts at time 0.
+    /// Creates a fleet at time 0, and schedules the first arrivals and all incidents.
     ///
     /// # Panics
-    /// When the settings of the scenario are invalid.
+    /// Panics if the settings of the scenario are invalid.
     pub fn new(
         scenario: &'a FleetScenario,
         clients: C,
@@ -91,7 +91,7 @@
         fleet
     }
 
-    /// Runs the fleet to the end of the scenario.
+    /// Processes events until the end time of the scenario, or until no event is left.
     #[must_use]
     pub fn run(mut self) -> FleetRun<C, O> {
         while let Some(next) = self.queue.pop() {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A gateway without state. Each of its incarnations has a seed of its own.
+    /// Creates a gateway with empty state. Each incarnation of a gateway has a different seed.
     fn start_gateway(&self, id: GatewayId, incarnation: u32) -> Gateway {
         let settings = Settings {
             gateway: id,
@@ -127,12 +127,11 @@
         &self.gateways[id.0 as usize]
     }
 
-    /// The numbers of all gateways.
     fn gateway_ids(&self) -> impl Iterator<Item = GatewayId> + use<C, O> {
         (0..self.gateways.len() as u32).map(GatewayId)
     }
 
-    /// Schedules an event. A time in the past stands for now.
+    /// Schedules an event at time `at`, or now if `at` is in the past.
     fn schedule(&mut self, at: Timestamp, event: FleetEvent) {
         self.queue.schedule(at.max(self.now), event);
     }
@@ -152,7 +151,7 @@
                 incarnation,
                 token,
             } => {
-                // A restarted gateway has lost the timers of its earlier incarnations.
+                // The timers of earlier incarnations were lost in the restart.
                 if self.gateway(gateway).incarnation == incarnation {
                     self.notify(gateway, Event::TimerFired { token });
                 }
@@ -163,7 +162,7 @@
                 endpoints,
             } => self.notify(gateway, Event::EndpointsChanged { kind, endpoints }),
             FleetEvent::PlannedIncident(index) => {
-                self.cause(self.scenario.incidents[index].incident);
+                self.apply_incident(self.scenario.incidents[index].incident);
             }
             FleetEvent::EndpointDrained(endpoint) => self.remove_endpoint(endpoint),
             FleetEvent::EndpointStarted(endpoint) => {
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Passes an event to a gateway and carries out the actions that the gateway returns.
+    /// Passes an event to a gateway and executes the actions that the gateway returns.
     fn notify(&mut self, id: GatewayId, event: Event) {
         let gateway = &mut self.gateways[id.0 as usize];
         for action in gateway.engine.handle_event(self.now, event) {
@@ -201,7 +200,7 @@
 
     fn set_timer(&mut self, gateway: GatewayId, token: TimerToken, delay: Milliseconds) {
         let random = self.randomness.stream(RandomStream::Host);
-        let lead = self.scenario.host.max_timer_lead * random.random::<f64>();
+        let lead = self.scenario.host_faults.max_timer_lead * random.random::<f64>();
         let timer = FleetEvent::Timer {
             gateway,
             incarnation: self.gateway(gateway).incarnation,
--- a/simulation/src/gossip_network.rs
+++ b/simulation/src/gossip_network.rs
@@ -1,60 +1,60 @@
-//! The network that carries gossip between gateways, with all its faults.
+//! Network that carries gossip between gateways, with delay, loss, partitions and tampering.
 
 use marlshelf::{GatewayId, Milliseconds, Settings, Timestamp};
 use rand::Rng;
 use std::ops::Range;
 
-/// How many copies of a forged datagram arrive under the numbers of other gateways.
+/// Number of copies in which a forged datagram arrives, each with a random gateway as its sender.
 const FORGED_COPIES: u32 = 6;
-/// The position of the plan's number in a gossip message.
+/// Index of the plan among the comma-separated fields of a gossip message.
 const PLAN_FIELD: usize = 2;
-/// One damaged datagram in this many names a plan that doesn't exist.
-const DAMAGED_PER_UNKNOWN_PLAN: u32 = 4;
+/// One in this many damaged datagrams refers to a plan that does not exist.
+const UNKNOWN_PLAN_INTERVAL: u32 = 4;
 
-/// How the network treats gossip.
+/// Model of the network between gateways.
 #[derive(Clone, Debug)]
 pub struct GossipNetwork {
-    /// The fraction of datagrams that are lost.
+    /// Fraction of datagrams that are lost, from 0 to 1.
     pub loss_ratio: f64,
-    /// The range of the delivery delay.
+    /// Range of the delivery delay.
     pub delay: Range<Milliseconds>,
-    /// The period in which nothing passes between gateways of even and of odd numbers.
+    /// Period during which gateways with even ids cannot reach gateways with odd ids, and vice versa.
     pub partition: Option<Range<Timestamp>>,
-    /// Damage and forgery of datagrams. Without it no random numbers are drawn for them.
+    /// Damage and forgery of datagrams. If it is `None`, the network draws no random numbers for tampering.
     pub tampering: Option<Tampering>,
 }
 
-/// Changes of datagrams on their way.
+/// Modification of datagrams in transit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tampering {
-    /// The fraction of datagrams that arrive damaged.
+    /// Fraction of datagrams whose text arrives damaged, from 0 to 1.
     pub damage_ratio: f64,
-    /// The fraction of datagrams that arrive several times, each time under the number of some gateway.
+    /// Fraction of datagrams that arrive as several copies with random senders, from 0 to 1.
     pub forgery_ratio: f64,
 }
 
-/// A datagram as a gateway sends it.
+/// A gossip datagram.
 #[derive(Clone, Debug)]
 pub struct Datagram {
-    /// The sender.
+    /// The gateway that the datagram claims as its sender.
     pub from: GatewayId,
-    /// The receiver.
+    /// The gateway that receives the datagram.
     pub to: GatewayId,
-    /// The content.
+    /// Payload in the gossip text format.
     pub text: String,
 }
 
-/// A datagram as it arrives.
+/// The arrival of a datagram at its receiver.
 #[derive(Clone, Debug)]
 pub struct Delivery {
-    /// When it arrives.
+    /// Time of arrival.
     pub at: Timestamp,
-    /// The datagram, with the sender that it states.
+    /// The datagram after tampering.
     pub datagram: Datagram,
 }
 
 impl Default for GossipNetwork {
-    /// A network without faults and with a delay of a few milliseconds.
+    /// Returns a network without faults and with a delay of 2 to 20 ms.
     fn default() -> Self {
         GossipNetwork {
             loss_ratio: 0.0,
@@ -66,7 +66,8 @@
 }
 
 impl GossipNetwork {
-    /// What becomes of a datagram that is sent now: nothing if it is lost, several deliveries if it is forged.
+    /// Transmits a datagram that is sent at time `now`. Returns its deliveries: none if the datagram is lost,
+    /// several if it is forged.
     pub fn transmit(
         &self,
         mut datagram: Datagram,
@@ -100,16 +101,15 @@
         (0..FORGED_COPIES).map(forge).collect()
     }
 
-    /// Whether a partition separates the sender from the receiver.
     fn is_partitioned(&self, datagram: &Datagram, now: Timestamp) -> bool {
         let is_active = self.partition.as_ref().is_some_and(|p| p.contains(&now));
         is_active && datagram.from.0 % 2 != datagram.to.0 % 2
     }
 }
 
-/// A datagram with one character changed, cut short, or about a plan that doesn't exist.
+/// Changes one character of the text, truncates it, or makes it refer to a plan that does not exist.
 fn damage(text: String, settings: &Settings, random: &mut impl Rng) -> String {
-    if random.random_range(0..DAMAGED_PER_UNKNOWN_PLAN) == 0 {
+    if random.random_range(0..UNKNOWN_PLAN_INTERVAL) == 0 {
         return with_plan(&text, settings.plans.len());
     }
     let position = random.random_range(0..text.len().max(1));
--- a/simulation/src/incident.rs
+++ b/simulation/src/incident.rs
@@ -1,48 +1,48 @@
-//! Incidents: changes and faults that a scenario causes.
+//! Faults and changes of the fleet that a scenario schedules.
 
 use crate::Fault;
 use marlshelf::{GatewayId, Timestamp};
 
-/// The index of an endpoint in the order of its first start. Endpoints that are added later follow.
+/// Index of an endpoint: first the endpoints that exist from the start, then those added later in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointIndex(pub usize);
 
-/// A change or a fault.
+/// A fault or a change of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub enum Incident {
-    /// An endpoint starts to drain and is removed three seconds later.
+    /// Drains the endpoint, and removes it three seconds later.
     Drain(EndpointIndex),
-    /// An endpoint is removed. It still completes its requests in flight.
+    /// Removes the endpoint. The endpoint still completes its requests in flight.
     Remove(EndpointIndex),
-    /// An endpoint like this one is added under a new name.
+    /// Adds an endpoint with a new name and the same properties as the given endpoint.
     Add(EndpointIndex),
-    /// An endpoint is removed, and another one with a new name takes its place.
+    /// Removes the endpoint and adds one with a new name and the same properties.
     Replace(EndpointIndex),
-    /// An endpoint's process exits, which resets its connections, and starts again a second later.
+    /// Stops the endpoint's process, which resets its connections, and restarts it one second later.
     Restart(EndpointIndex),
-    /// The service time of an endpoint is multiplied by this factor from now on.
+    /// Sets the factor by which all later service times of the endpoint are multiplied.
     Slow(EndpointIndex, f64),
-    /// An endpoint has this fault from now on.
+    /// Sets the endpoint's fault. [`Fault::None`] ends the current one.
     Fault(EndpointIndex, Fault),
-    /// A gateway restarts without its state.
+    /// Restarts the gateway, which loses all its state.
     RestartGateway(GatewayId),
-    /// All gateways receive a snapshot of the endpoint list.
+    /// Sends a snapshot of the endpoint list to all gateways.
     Snapshot,
-    /// All gateways receive the result of a health check of an endpoint.
+    /// Sends all gateways a health check result for the endpoint.
     HealthCheck(EndpointIndex),
 }
 
-/// An incident with its time.
+/// An incident and the time at which it occurs.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedIncident {
-    /// When it happens.
+    /// Virtual time of the incident.
     pub at: Timestamp,
-    /// What happens.
+    /// The fault or change, with the endpoint or gateway that it affects.
     pub incident: Incident,
 }
 
 impl PlannedIncident {
-    /// An incident at this time.
+    /// Schedules `incident` for time `at`.
     #[must_use]
     pub fn at(at: Timestamp, incident: Incident) -> PlannedIncident {
         PlannedIncident { at, incident }
--- a/simulation/src/ledgers/mod.rs
+++ b/simulation/src/ledgers/mod.rs
@@ -1,5 +1,8 @@
-//! Ledgers that check the rules: what a fleet forwards against the true state of quotas, hard limits and concurrency
-//! limits, and the work that endpoints receive while they warm up against what they tolerate.
+//! Fleet-wide accounting with which tests check a run.
+//!
+//! The quota ledgers compare the forwarded requests with the exact fleet-wide quotas, hard limits and
+//! concurrency limits. The overload rule compares the work that an endpoint receives during its warm-up with
+//! its capacity.
 
 mod overload;
 mod quota;
--- a/simulation/src/ledgers/overload.rs
+++ b/simulation/src/ledgers/overload.rs
@@ -1,33 +1,33 @@
-//! The overload of endpoints that warm up.
+//! Detection of overload of endpoints during their warm-up.
 
 use crate::{SimulatedEndpoint, SlowStart};
 use marlshelf::{Milliseconds, Timestamp};
 
-/// Work that reached an endpoint.
+/// Work that arrived at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedWork {
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Timestamp,
-    /// The work, as a multiple of the endpoint's service time.
+    /// Amount of work, as a multiple of the endpoint's service time.
     pub work: f64,
 }
 
-/// When an endpoint that warms up fails: as soon as a window holds more than a multiple of its present capacity.
+/// Failure condition of a warming endpoint: the work in a sliding window exceeds a multiple of the capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadRule {
-    /// The multiple.
+    /// Tolerated work, as a multiple of the capacity during the window.
     pub multiple: f64,
-    /// The length of the window.
+    /// Length of the sliding window.
     pub window: Milliseconds,
-    /// The requests of work 1 per second that a warm endpoint completes.
+    /// Capacity of a warm endpoint, in requests of work 1 per second.
     pub capacity: f64,
-    /// How the capacity grows.
+    /// Growth of the capacity after a start.
     pub slow_start: SlowStart,
 }
 
 impl OverloadRule {
-    /// The most work that a window of an endpoint's warm-up held, as a fraction of what the endpoint tolerates. Above 1
-    /// the endpoint fails.
+    /// Returns the highest ratio of received to tolerated work over all windows of the endpoint's last
+    /// warm-up. The endpoint fails if the ratio is above 1.
     #[must_use]
     pub fn worst_overload(&self, endpoint: &SimulatedEndpoint) -> f64 {
         let started_at = endpoint.started_at();
@@ -45,9 +45,11 @@
         worst
     }
 
-    /// The work that the window up to this time may hold, with two standard deviations for chance.
+    /// Returns the tolerated work of the window that ends at `window_end`. It includes an allowance of two
+    /// standard deviations for random arrivals.
     fn tolerated_work(&self, started_at: Timestamp, window_end: Timestamp) -> f64 {
-        // Capacity rises linearly, so that its mean over the window is that of the middle.
+        // The capacity rises linearly, so its mean over the window equals its value in the middle of the
+        // window.
         let window_start = (window_end - self.window).max(started_at);
         let middle = Timestamp(f64::midpoint(window_start.as_f64(), window_end.as_f64()));
         let warmup_fraction = self.slow_start.warmup_fraction(started_at, middle);
--- a/simulation/src/ledgers/quota.rs
+++ b/simulation/src/ledgers/quota.rs
@@ -1,4 +1,5 @@
-//! The true state of tenants' quotas, which no gateway of a fleet knows, and what forwarding beyond it costs.
+//! Exact fleet-wide quota accounting, which no single gateway has, and the cost of requests forwarded over
+//! quota.
 
 use crate::{ClientRequest, Observer};
 use marlshelf::{
@@ -7,7 +8,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The true token bucket, hard limit and attempts in flight of one tenant.
+/// Fleet-wide token bucket, hard limit and number of attempts in flight of one tenant.
 #[derive(Clone, Debug)]
 pub struct QuotaLedger {
     updated_at: Timestamp,
@@ -18,17 +19,17 @@
     most_in_flight: u32,
 }
 
-/// The value of all that a fleet forwarded.
+/// Value of the requests that a fleet forwarded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ForwardedValue {
-    /// Within quotas.
+    /// Sum of plan weight times cost of the requests forwarded within quota.
     pub within_quota: f64,
-    /// The penalty for what was forwarded over quota.
+    /// Sum of penalty times plan weight times cost of the requests forwarded over quota.
     pub over_quota_cost: f64,
 }
 
 impl QuotaLedger {
-    /// A ledger with full buckets at time 0.
+    /// Creates a ledger with full buckets at time 0.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         QuotaLedger {
@@ -41,13 +42,13 @@
         }
     }
 
-    /// How many tokens were forwarded beyond the hard limit at worst.
+    /// Returns the largest number of tokens by which forwarded requests have exceeded the hard limit.
     #[must_use]
     pub fn hard_limit_excess(&self) -> Tokens {
         -self.lowest_hard_limit_tokens
     }
 
-    /// How many attempts were in flight beyond the concurrency limit at worst.
+    /// Returns the largest number of attempts that were in flight above the concurrency limit.
     #[must_use]
     pub fn concurrency_excess(&self, plan: &Plan) -> u32 {
         match plan.max_concurrency {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Refills the buckets up to this time.
+    /// Refills both buckets for the time since the last refill.
     pub fn refill(&mut self, plan: &Plan, now: Timestamp) {
         let elapsed = now - self.updated_at;
         self.updated_at = now;
@@ -69,14 +70,15 @@
         );
     }
 
-    /// Whether an attempt of this cost would be within the quota and the concurrency limit.
+    /// Returns whether an attempt of this cost would be within the quota and the concurrency limit.
     #[must_use]
     pub fn has_capacity(&self, plan: &Plan, cost: Tokens) -> bool {
         let has_permit = plan.max_concurrency == 0 || self.in_flight < plan.max_concurrency;
         self.tokens >= cost && has_permit
     }
 
-    /// Starts an attempt. Returns whether it is within the quota.
+    /// Records the start of an attempt and adds its value or penalty to `value`. Returns whether the attempt
+    /// is within the quota and the concurrency limit.
     pub fn forward(
         &mut self,
         plan: &Plan,
@@ -99,7 +101,7 @@
         within_quota
     }
 
-    /// Ends an attempt and charges these tokens in addition to its estimated cost.
+    /// Records the end of an attempt and charges `settlement`. A negative settlement is a refund.
     pub fn finish(&mut self, plan: &Plan, now: Timestamp, settlement: Tokens) {
         self.refill(plan, now);
         self.tokens = (self.tokens - settlement).min(plan.burst);
@@ -111,7 +113,8 @@
     (tokens + rate.over(elapsed)).min(burst)
 }
 
-/// What the end of an attempt charges in addition to the estimated cost, if that was charged.
+/// Returns the difference between the actual and the estimated cost, to be charged when the attempt ends.
+/// Returns 0 if the estimate was not charged or the actual cost is unknown.
 #[must_use]
 pub fn settlement(request: &ClientRequest, within_quota: bool) -> Tokens {
     match request.actual_cost {
@@ -120,20 +123,21 @@
     }
 }
 
-/// Keeps the ledgers of all tenants of a fleet, and checks that no request is forwarded twice.
+/// Keeps the ledgers of all tenants of a fleet, and checks that each request is forwarded at most once.
 ///
-/// It is meant for fleets whose attempts all succeed: a retry counts as a request that is forwarded twice.
+/// Use it only in scenarios where all attempts succeed, because it reports a retry as a second forward.
 pub struct QuotaAudit<'a> {
     plans: &'a [Plan],
     ledgers: Vec<QuotaLedger>,
     value: ForwardedValue,
     forwarded: BTreeSet<RequestId>,
-    /// Whether each attempt in flight is within its quota.
+    /// The attempts in flight, and whether each was within the quota when it started.
     in_flight: BTreeMap<RequestId, bool>,
 }
 
 impl<'a> QuotaAudit<'a> {
-    /// The ledgers of tenants with these plans, at time 0.
+    /// Creates the ledgers at time 0. `plans_of_tenants` yields the plan of each tenant in the order of
+    /// [`ClientRequest::tenant_index`].
     #[must_use]
     pub fn new(plans: &'a [Plan], plans_of_tenants: impl IntoIterator<Item = PlanIndex>) -> Self {
         let ledger = |plan: PlanIndex| QuotaLedger::new(&plans[plan.0]);
@@ -146,13 +150,13 @@
         }
     }
 
-    /// The ledgers of all tenants.
+    /// Returns the ledgers of all tenants, indexed by [`ClientRequest::tenant_index`].
     #[must_use]
     pub fn ledgers(&self) -> &[QuotaLedger] {
         &self.ledgers
     }
 
-    /// The value of all that was forwarded.
+    /// Returns the total value of the requests forwarded so far.
     #[must_use]
     pub fn value(&self) -> ForwardedValue {
         self.value
@@ -161,7 +165,7 @@
 
 impl Observer for QuotaAudit<'_> {
     /// # Panics
-    /// When a request is forwarded a second time.
+    /// Panics if a request is forwarded a second time.
     fn on_action(&mut self, _now: Timestamp, _gateway: GatewayId, action: &Action) {
         if let Action::Forward { request, .. } = action {
             let is_first = self.forwarded.insert(*request);
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,26 +1,27 @@
-//! Simulated fleets of gateways in virtual time, the common ground of tests and tools.
+//! Deterministic simulation of a gateway fleet in virtual time, used by tests and tools.
 //!
-//! A [`Fleet`] runs one [`DecisionEngine`](marlshelf::DecisionEngine) for each gateway and carries out the actions of
-//! the engines as a gateway's host does. Its surroundings are models with a part each:
+//! A [`Fleet`] runs one [`DecisionEngine`](marlshelf::DecisionEngine) per gateway and executes the actions
+//! that the engines return, as a real gateway process does. Each part of the environment is a separate model:
 //!
-//! | part | models |
+//! | type | models |
 //! | --- | --- |
-//! | [`EventQueue`] | virtual time: events in the order of their times |
+//! | [`EventQueue`] | virtual time: events ordered by timestamp |
 //! | [`GossipNetwork`] | datagrams between gateways, with delay, loss, partitions and tampering |
 //! | [`SimulatedEndpoint`] | endpoints with cores, a bounded queue, slow start and [faults](Fault) |
 //! | [`Clients`] | requests, client deadlines, disconnects and retries |
-//! | [`Incident`] | what goes wrong, or changes, at a given time |
-//! | [`Observer`] | what a test or tool records; the [`ledgers`] check the rules of quotas and of slow start |
+//! | [`Incident`] | faults and changes of the fleet at scheduled times |
+//! | [`Observer`] | recording for a test or tool; the [`ledgers`] check quotas and slow start |
 //!
-//! A run is described by a [`FleetScenario`], its clients and its [`Randomness`], and gives the same result each time:
-//! nothing here reads a clock, and all random numbers come from the seeds of the run.
+//! A [`FleetScenario`], its clients and its [`Randomness`] determine a run completely: the simulation never
+//! reads a clock, and it draws all random numbers from the seeds of the run.
 //!
 //! ```
 //! use marlshelf::{
 //!     GatewayId, Milliseconds, Plan, RequestClass, Settings, Timestamp, Tokens, TokensPerSecond,
 //! };
 //! use marlshelf_simulation::{
-//!     ClientRequest, Fleet, FleetScenario, GatewaySeeds, Randomness, ScheduledClients, ScheduledRequest, Shard,
+//!     ClientRequest, Fleet, FleetScenario, GatewaySeeds, Randomness, ScheduledClients, ScheduledRequest,
+//!     Shard,
 //! };
 //! use rand::SeedableRng;
 //! use rand_pcg::Pcg64Mcg;
@@ -81,4 +82,4 @@
 pub use incident::{EndpointIndex, Incident, PlannedIncident};
 pub use observer::Observer;
 pub use randomness::{GatewaySeeds, RandomStream, Randomness};
-pub use scenario::{FleetScenario, GatewayHost};
+pub use scenario::{FleetScenario, HostFaults};
--- a/simulation/src/observer.rs
+++ b/simulation/src/observer.rs
@@ -1,23 +1,27 @@
-//! What a test or a tool records of a run.
+//! Callbacks with which a test or tool records a run.
 
 use crate::ClientRequest;
 use marlshelf::{Action, AttemptResult, GatewayId, RequestId, Timestamp};
 
-/// Watches a run. It changes nothing and draws no random numbers, so that a run is the same with any observer.
+/// Receives callbacks during a run.
 ///
-/// `()` is the observer that records nothing.
-#[expect(unused_variables, reason = "the default does nothing")]
+/// An observer cannot influence the run and draws no random numbers, so a run has the same result with any
+/// observer. The implementation for `()` records nothing.
+#[expect(
+    unused_variables,
+    reason = "the default implementations ignore their arguments"
+)]
 pub trait Observer {
-    /// A client has sent a request, which its gateway receives next.
+    /// Called when a client sends a request, before the gateway handles the request.
     fn on_request(&mut self, now: Timestamp, id: RequestId, request: &ClientRequest) {}
 
-    /// A gateway has returned an action, which is carried out next.
+    /// Called when a gateway returns an action, before the action is executed.
     fn on_action(&mut self, now: Timestamp, gateway: GatewayId, action: &Action) {}
 
-    /// An attempt of a request starts.
+    /// Called when an attempt starts. The attempt may still end without having been sent.
     fn on_attempt_start(&mut self, now: Timestamp, id: RequestId, request: &ClientRequest) {}
 
-    /// An attempt of a request has ended, of which its gateway is notified next.
+    /// Called when an attempt ends, before its gateway is notified.
     fn on_attempt_end(
         &mut self,
         now: Timestamp,
--- a/simulation/src/randomness.rs
+++ b/simulation/src/randomness.rs
@@ -1,35 +1,35 @@
-//! The random numbers of a run.
+//! Random number generators and seeds of a run.
 
 use rand_pcg::Pcg64Mcg;
 
-/// What random numbers are drawn for.
+/// A purpose for which the simulation draws random numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RandomStream {
-    /// Arrival, requests, disconnects and retries of clients.
+    /// Client arrivals, request contents, disconnects and retries.
     Clients,
-    /// Loss, delay and tampering of gossip.
+    /// Gossip loss, delay and tampering.
     Gossip,
-    /// The delays with which gateways learn of changed endpoints.
+    /// Delays until gateways learn of endpoint changes.
     Discovery,
-    /// Service times, faults and the contents of responses.
+    /// Service times, faults and response contents of endpoints.
     Endpoints,
     /// Early timers and aborted attempts.
     Host,
 }
 
-/// The seeds of the decision engines.
+/// Assigns a seed to the decision engine of each gateway and incarnation. Sums of seeds wrap around.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewaySeeds {
-    /// The seed of gateway 0.
+    /// Seed of gateway 0 in its first incarnation.
     pub first: u64,
-    /// The difference between the seeds of two neighbours.
+    /// Difference between the seeds of gateways with consecutive ids.
     pub step: u64,
-    /// The difference between the seeds of two incarnations of a gateway.
+    /// Difference between the seeds of consecutive incarnations of a gateway.
     pub incarnation_step: u64,
 }
 
 impl GatewaySeeds {
-    /// Consecutive seeds, from this one for gateway 0.
+    /// Assigns consecutive seeds to the gateways, starting with `first` for gateway 0.
     #[must_use]
     pub fn consecutive_from(first: u64) -> GatewaySeeds {
         GatewaySeeds {
@@ -39,19 +39,19 @@
         }
     }
 
-    /// The seed of one incarnation of a gateway.
     #[must_use]
-    pub(crate) fn of(self, gateway: u32, incarnation: u32) -> u64 {
+    pub(crate) fn seed(self, gateway: u32, incarnation: u32) -> u64 {
         self.first
             .wrapping_add(self.step.wrapping_mul(u64::from(gateway)))
             .wrapping_add(self.incarnation_step.wrapping_mul(u64::from(incarnation)))
     }
 }
 
-/// All random numbers of a run: a generator for each [`RandomStream`], and the seeds of the gateways.
+/// The random number generator of each [`RandomStream`], and the seeds of the gateways.
 ///
-/// Streams may share a generator. Then each draw of one shifts the numbers of the others. A stream with a generator of
-/// its own keeps its numbers when the scenario changes elsewhere, which makes runs comparable.
+/// When streams share a generator, each draw for one stream changes the numbers that the others get. A stream
+/// with a separate generator gets the same numbers even if another part of the scenario changes, which makes
+/// runs comparable.
 #[derive(Debug, Clone)]
 pub struct Randomness {
     shared: Pcg64Mcg,
@@ -60,7 +60,7 @@
 }
 
 impl Randomness {
-    /// One generator for all streams.
+    /// Uses one generator for all streams.
     #[must_use]
     pub fn shared(generator: Pcg64Mcg, gateway_seeds: GatewaySeeds) -> Randomness {
         Randomness {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives a stream a generator of its own.
+    /// Gives a stream a separate generator. Replaces the stream's earlier separate generator, if any.
     #[must_use]
     pub fn with_separate(mut self, stream: RandomStream, generator: Pcg64Mcg) -> Randomness {
         self.separate.retain(|(separate, _)| *separate != stream);
@@ -78,14 +78,16 @@
         self
     }
 
-    /// The generator of a stream.
+    /// Returns the generator that a stream draws from: its separate one, or else the shared one.
     pub fn stream(&mut self, stream: RandomStream) -> &mut Pcg64Mcg {
-        let separate = self.separate.iter_mut().find(|(of, _)| *of == stream);
+        let separate = self
+            .separate
+            .iter_mut()
+            .find(|(candidate, _)| *candidate == stream);
         separate.map_or(&mut self.shared, |(_, generator)| generator)
     }
 
-    /// The seed of one incarnation of a gateway.
     pub(crate) fn gateway_seed(&self, gateway: u32, incarnation: u32) -> u64 {
-        self.gateway_seeds.of(gateway, incarnation)
+        self.gateway_seeds.seed(gateway, incarnation)
     }
 }
--- a/simulation/src/scenario.rs
+++ b/simulation/src/scenario.rs
@@ -1,43 +1,45 @@
-//! The description of a simulated fleet.
+//! Configuration of a simulated fleet.
 
 use crate::{EndpointPool, GossipNetwork, PlannedIncident};
 use marlshelf::{Milliseconds, Settings, Timestamp};
 
-/// What the hosts of the gateways do wrong.
+/// Faults of the processes that host the decision engines.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct GatewayHost {
-    /// The longest time by which a timer fires too early.
+pub struct HostFaults {
+    /// Timers fire early by a random time of up to this value.
     pub max_timer_lead: Milliseconds,
-    /// The fraction of attempts that a host aborts.
+    /// Fraction of attempts that the host aborts, from 0 to 1.
     pub abort_ratio: f64,
 }
 
-/// A fleet, what surrounds it except for its clients, and what happens to it.
+/// A fleet and its environment, without the clients.
 #[derive(Clone, Debug)]
 pub struct FleetScenario {
-    /// The settings of all gateways. The fleet fills in the number and the zone of each.
+    /// Settings shared by all gateways. [`Fleet::new`](crate::Fleet::new) sets the gateway id and zone of
+    /// each.
     pub settings: Settings,
-    /// The number of zones in which the gateways run. Gateway `k` runs in zone `k % gateway_zones`.
+    /// Number of zones with gateways. Gateway `k` is in zone `k % gateway_zones`.
     pub gateway_zones: u32,
-    /// The hosts of the gateways.
-    pub host: GatewayHost,
-    /// The endpoints.
+    /// Early timers and aborted attempts.
+    pub host_faults: HostFaults,
+    /// The endpoints that exist when the run starts, and their service model.
     pub endpoints: EndpointPool,
-    /// The network between gateways.
+    /// Network that carries gossip between gateways.
     pub gossip: GossipNetwork,
-    /// What happens when.
+    /// Faults and changes of the fleet during the run, in any order.
     pub incidents: Vec<PlannedIncident>,
-    /// When the run ends. Without an end it runs until nothing is left to happen.
+    /// Time at which the run ends. With [`Timestamp::DISTANT_FUTURE`] the run ends when no event is left.
     pub end: Timestamp,
 }
 
 impl Default for FleetScenario {
-    /// One gateway and one endpoint without faults, until nothing is left to happen.
+    /// Returns a scenario with one gateway and one endpoint, without faults, that runs until no event is
+    /// left.
     fn default() -> Self {
         FleetScenario {
             settings: Settings::default(),
             gateway_zones: 1,
-            host: GatewayHost::default(),
+            host_faults: HostFaults::default(),
             endpoints: EndpointPool::default(),
             gossip: GossipNetwork::default(),
             incidents: Vec::new(),
--- a/simulation/tests/fleet.rs
+++ b/simulation/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Whole fleets: what becomes of requests, endpoints and gateways.
+//! Tests of complete fleets: determinism, and the effects of endpoint and gateway incidents.
 
 use marlshelf::{
     Action, AttemptResult, GatewayId, Milliseconds, Plan, RequestClass, RequestId, Settings,
@@ -14,7 +14,7 @@
 
 const CLIENT_TIMEOUT: Milliseconds = Milliseconds(2000.0);
 
-/// Records everything that an observer sees.
+/// Observer that records requests, actions and attempt results.
 #[derive(Default)]
 struct Recorder {
     requests: Vec<RequestId>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Three gateways and four endpoints.
+/// Returns a scenario with three gateways and four endpoints that ends after five seconds.
 fn scenario(incidents: Vec<PlannedIncident>) -> FleetScenario {
     let class = RequestClass {
         latency_objective: Milliseconds(500.0),
@@ -79,7 +79,7 @@
     Randomness::shared(generator, GatewaySeeds::consecutive_from(seed))
 }
 
-/// Runs a fleet whose gateway 0 receives a request every 10 ms for two seconds.
+/// Runs a fleet in which gateway 0 receives a request every 10 ms for two seconds.
 fn run_steady_requests(incidents: Vec<PlannedIncident>) -> FleetRun<ScheduledClients, Recorder> {
     let request = |step: u32| ScheduledRequest {
         at: Timestamp(10.0 * f64::from(step)),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn run_with_the_same_seed_is_the_same_to_the_last_action() {
+fn runs_with_equal_seeds_return_identical_actions() {
     let (first, second, other) = (run_tenants(1), run_tenants(1), run_tenants(2));
     assert!(!first.actions.is_empty());
     assert!(first.actions == second.actions);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn every_request_is_served_when_nothing_fails() {
+fn all_requests_succeed_in_a_fleet_without_faults() {
     let run = run_steady_requests(Vec::new());
     assert_eq!(run.observer.requests.len(), 200);
     assert_eq!(run.observer.results, [AttemptResult::Success; 200]);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn removed_endpoint_receives_nothing_and_added_one_takes_over() {
+fn removed_endpoint_receives_no_more_work_and_added_endpoint_receives_work() {
     let removed = EndpointIndex(1);
     let run = run_steady_requests(vec![
         PlannedIncident::at(Timestamp(505.0), Incident::Remove(removed)),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn restart_of_an_endpoint_resets_its_attempts() {
+fn endpoint_restart_resets_attempts_in_flight() {
     let restart = |index| {
         let incident = Incident::Restart(EndpointIndex(index));
         PlannedIncident::at(Timestamp(1005.0), incident)
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn restarted_gateway_loses_its_requests_and_serves_new_ones() {
+fn restarted_gateway_loses_pending_requests_and_serves_new_ones() {
     let restart = Incident::RestartGateway(GatewayId(0));
     let run = run_steady_requests(vec![PlannedIncident::at(Timestamp(1005.0), restart)]);
     let served = run.observer.results.len();
--- a/simulation/tests/parts.rs
+++ b/simulation/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the simulation, each alone.
+//! Unit tests of the simulation's models and ledgers.
 
 use marlshelf::{
     AttemptResult, GatewayId, Milliseconds, Plan, Settings, Timestamp, Tokens, TokensPerSecond,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn events_happen_by_time_and_those_of_one_time_as_scheduled() {
+fn events_are_ordered_by_time_and_then_by_scheduling_order() {
     let mut queue = EventQueue::default();
     queue.schedule(Timestamp(2.0), "third");
     queue.schedule(Timestamp(1.0), "first");
@@ -30,18 +30,24 @@
 }
 
 #[test]
-fn separate_stream_keeps_its_numbers_when_another_draws_more() {
+fn draws_of_a_shared_stream_do_not_change_the_numbers_of_a_separate_stream() {
     let seeds = GatewaySeeds::consecutive_from(0);
     let randomness = Randomness::shared(random(), seeds)
         .with_separate(RandomStream::Clients, Pcg64Mcg::seed_from_u64(2));
-    let (mut undisturbed, mut disturbed) = (randomness.clone(), randomness);
-    let _: u64 = disturbed.stream(RandomStream::Gossip).random();
-    let expected: u64 = undisturbed.stream(RandomStream::Clients).random();
-    let drawn: u64 = disturbed.stream(RandomStream::Clients).random();
+    let (mut reference, mut randomness) = (randomness.clone(), randomness);
+    let _: u64 = randomness.stream(RandomStream::Gossip).random();
+    let expected: u64 = reference.stream(RandomStream::Clients).random();
+    let drawn: u64 = randomness.stream(RandomStream::Clients).random();
     assert_eq!(drawn, expected);
 }
 
-fn senders(network: &GossipNetwork, from: u32, to: u32, now: Timestamp) -> Vec<GatewayId> {
+/// Transmits a datagram and returns the senders of its deliveries, after checking their delays.
+fn delivered_senders(
+    network: &GossipNetwork,
+    from: u32,
+    to: u32,
+    now: Timestamp,
+) -> Vec<GatewayId> {
     let settings = Settings {
         gateway_count: 10,
         ..Settings::default()
@@ -52,24 +58,34 @@
         text: "text".to_string(),
     };
     let deliveries = network.transmit(datagram, now, &settings, &mut random());
-    let arrives_later = |at| (now + network.delay.start..now + network.delay.end).contains(&at);
-    assert!(deliveries.iter().all(|delivery| arrives_later(delivery.at)));
+    let is_within_delay = |at| (now + network.delay.start..now + network.delay.end).contains(&at);
+    assert!(
+        deliveries
+            .iter()
+            .all(|delivery| is_within_delay(delivery.at))
+    );
     deliveries.iter().map(|d| d.datagram.from).collect()
 }
 
 #[test]
-fn partition_separates_even_from_odd_gateways_while_it_lasts() {
+fn partition_blocks_gossip_between_even_and_odd_gateways_until_it_ends() {
     let network = GossipNetwork {
         partition: Some(Timestamp(10.0)..Timestamp(20.0)),
         ..GossipNetwork::default()
     };
-    assert_eq!(senders(&network, 0, 1, Timestamp(10.0)), []);
-    assert_eq!(senders(&network, 0, 2, Timestamp(10.0)), [GatewayId(0)]);
-    assert_eq!(senders(&network, 0, 1, Timestamp(20.0)), [GatewayId(0)]);
+    assert_eq!(delivered_senders(&network, 0, 1, Timestamp(10.0)), []);
+    assert_eq!(
+        delivered_senders(&network, 0, 2, Timestamp(10.0)),
+        [GatewayId(0)]
+    );
+    assert_eq!(
+        delivered_senders(&network, 0, 1, Timestamp(20.0)),
+        [GatewayId(0)]
+    );
 }
 
 #[test]
-fn forged_gossip_arrives_several_times() {
+fn forged_datagram_arrives_in_six_copies() {
     let tampering = Tampering {
         forgery_ratio: 1.0,
         ..Tampering::default()
@@ -78,10 +94,10 @@
         tampering: Some(tampering),
         ..GossipNetwork::default()
     };
-    assert_eq!(senders(&network, 0, 1, START).len(), 6);
+    assert_eq!(delivered_senders(&network, 0, 1, START).len(), 6);
 }
 
-/// An endpoint with one core, room for one waiting request, and a service time of 10 ms.
+/// Returns an endpoint with one core, a queue for one request, and a service time of 10 ms.
 fn small_endpoint(slow_start: SlowStart) -> SimulatedEndpoint {
     let pool = EndpointPool {
         service: ServiceModel {
@@ -98,7 +114,7 @@
 }
 
 #[test]
-fn endpoint_queues_requests_beyond_its_cores_and_rejects_those_beyond_its_queue() {
+fn endpoint_queues_requests_beyond_its_cores_and_rejects_requests_beyond_its_queue() {
     let mut endpoint = small_endpoint(SlowStart::NONE);
     let ends = [(); 3].map(|()| endpoint.serve(START, 1.0, &mut random()));
     let expected = [
@@ -108,13 +124,13 @@
     ];
     let ends = ends.map(|end| ((end.at - START).as_f64(), end.result));
     assert_eq!(ends, expected);
-    // The rejected request counts as received as well.
+    // Rejected work counts as received.
     let end = START + Milliseconds(1.0);
     assert_eq!(endpoint.work_received_between(START, end), 3.0);
 }
 
 #[test]
-fn endpoint_that_warms_up_takes_longer_and_tolerates_less() {
+fn warming_endpoint_has_longer_service_times_and_tolerates_less_work() {
     let slow_start = SlowStart {
         initial_warmth: 0.5,
         warmup: Milliseconds(1000.0),
@@ -138,7 +154,7 @@
 }
 
 #[test]
-fn silent_endpoint_never_answers_until_it_restarts() {
+fn silent_endpoint_responds_only_after_a_restart() {
     let mut endpoint = small_endpoint(SlowStart::NONE);
     endpoint.fault = Fault::Silent;
     let end = endpoint.serve(START, 1.0, &mut random());
@@ -149,7 +165,7 @@
 }
 
 #[test]
-fn quota_ledger_counts_what_exceeds_quota_concurrency_and_hard_limit() {
+fn quota_ledger_measures_excess_over_quota_concurrency_limit_and_hard_limit() {
     let plan = Plan {
         refill_rate: TokensPerSecond(1.0),
         burst: Tokens(10.0),
