--- a/examples/decision_digest/main.rs
+++ b/examples/decision_digest/main.rs
@@ -1,7 +1,7 @@
-//! Plays seeded fleets of decision engines and prints a digest of all their actions.
+//! Simulates fleets of decision engines with fixed seeds and prints a digest of all their actions.
 //!
-//! There is one line for each scenario and seed: name, seed, number of actions, digest. The same code
-//! prints the same lines on every run, and a change of any decision changes a digest.
+//! Prints one line per scenario and seed: name, seed, number of actions, digest. The output is deterministic,
+//! and any change of a decision changes a digest.
 //!
 //! Usage: `decision_digest [--list] [SCENARIO...]`
 
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The number of threads that play scenarios.
+/// Number of threads that run scenarios in parallel.
 const THREADS: usize = 3;
 
 fn main() -> ExitCode {
@@ -43,28 +43,28 @@
         .filter(is_selected)
         .flat_map(|scenario| scenario.seeds.iter().map(move |seed| (scenario, *seed)))
         .collect();
-    for line in play_all(&runs) {
+    for line in run_all(&runs) {
         println!("{line}");
     }
     ExitCode::SUCCESS
 }
 
-/// Plays all runs in a few threads and gives their output lines in the order of the runs.
-fn play_all(runs: &[(&Scenario, u64)]) -> Vec<String> {
+/// Executes all runs on several threads and returns their output lines in the order of the runs.
+fn run_all(runs: &[(&Scenario, u64)]) -> Vec<String> {
     let next_run = AtomicUsize::new(0);
-    let play_remaining_runs = || {
+    let execute_remaining_runs = || {
         let mut lines = Vec::new();
         loop {
             let index = next_run.fetch_add(1, Ordering::Relaxed);
             let Some((scenario, seed)) = runs.get(index) else {
                 return lines;
             };
-            lines.push((index, play(scenario, *seed)));
+            lines.push((index, run_scenario(scenario, *seed)));
         }
     };
     let mut lines: Vec<(usize, String)> = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS)
-            .map(|_| scope.spawn(play_remaining_runs))
+            .map(|_| scope.spawn(execute_remaining_runs))
             .collect();
         threads
             .into_iter()
@@ -75,8 +75,8 @@
     lines.into_iter().map(|(_, line)| line).collect()
 }
 
-/// Plays one scenario with one seed and gives its output line.
-fn play(scenario: &Scenario, seed: u64) -> String {
+/// Runs a scenario with one seed and returns its output line.
+fn run_scenario(scenario: &Scenario, seed: u64) -> String {
     let fleet = &scenario.fleet;
     let mut generator = Pcg64Mcg::seed_from_u64(seed);
     let clients = TenantClients::new(&scenario.traffic, &fleet.settings, &mut generator);
@@ -89,6 +89,6 @@
     let digest = Fleet::new(fleet, clients, ActionDigest::new(), randomness)
         .run()
         .observer;
-    let (actions, hash) = (digest.actions(), digest.hash());
-    format!("{} {seed} {actions} {hash:016x}", scenario.name)
+    let (action_count, hash) = (digest.action_count(), digest.hash());
+    format!("{} {seed} {action_count} {hash:016x}", scenario.name)
 }
--- a/examples/decision_digest/scenario/defaults.rs
+++ b/examples/decision_digest/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The values that scenarios share, and the scenario from which all others are derived.
+//! Values that several scenarios share, and the base scenario from which the others are derived.
 
 use super::Scenario;
 use marlshelf::{
@@ -11,13 +11,13 @@
     ServiceModel, SlowStart, Tampering, TenantTraffic,
 };
 
-/// How endpoints warm up. The gateways are configured accordingly.
+/// Slow start of the endpoints. The settings of the gateways contain the same values.
 const SLOW_START: SlowStart = SlowStart {
     initial_warmth: 0.2,
     warmup: Milliseconds(8000.0),
 };
 
-/// Request classes of every idempotency.
+/// Returns request classes with every kind of idempotency.
 fn classes() -> Vec<RequestClass> {
     let class =
         |priority_weight, latency_objective_ms, late_answer_weight, idempotency, window_ms| {
@@ -56,8 +56,8 @@
     ]
 }
 
-/// Plans with every combination of quota, hard limit and concurrency limit. `scale` multiplies
-/// their rates and bursts.
+/// Returns plans with every combination of quota, hard limit and concurrency limit. `scale` multiplies the
+/// rates and bursts.
 pub fn plans(scale: f64) -> Vec<Plan> {
     let plan = |refill_rate: f64, burst: f64, weight, over_quota_penalty| Plan {
         refill_rate: TokensPerSecond(refill_rate * scale),
@@ -72,31 +72,31 @@
         hard_limit_slack: Tokens(slack),
         ..plan
     };
-    let with_concurrency = |max_concurrency, plan: Plan| Plan {
+    let with_concurrency_limit = |max_concurrency, plan: Plan| Plan {
         max_concurrency,
         ..plan
     };
     vec![
         plan(20.0, 30.0, 1.0, 0.0),
         plan(10.0, 20.0, 0.7, 0.6),
-        with_concurrency(4, plan(30.0, 40.0, 1.3, 1.0)),
-        with_concurrency(40, plan(0.0, 0.0, 2.0, 0.0)),
+        with_concurrency_limit(4, plan(30.0, 40.0, 1.3, 1.0)),
+        with_concurrency_limit(40, plan(0.0, 0.0, 2.0, 0.0)),
         with_hard_limit(plan(15.0, 20.0, 1.8, 0.0), 25.0, 40.0, 5.0),
         with_hard_limit(plan(0.0, 0.0, 0.9, 0.2), 20.0, 30.0, 2.0),
-        with_concurrency(2, plan(0.0, 0.0, 0.4, 0.3)),
+        with_concurrency_limit(2, plan(0.0, 0.0, 0.4, 0.3)),
         plan(0.0, 0.0, 0.5, 0.0),
         with_hard_limit(
-            with_concurrency(3, plan(12.0, 15.0, 1.1, 1.2)),
+            with_concurrency_limit(3, plan(12.0, 15.0, 1.1, 1.2)),
             15.0,
             20.0,
             3.0,
         ),
-        with_concurrency(1, plan(0.0, 0.0, 0.8, 0.5)),
+        with_concurrency_limit(1, plan(0.0, 0.0, 0.8, 0.5)),
         plan(8.0, 12.0, 0.6, 1.5),
     ]
 }
 
-/// Twelve endpoints without faults, in two zones.
+/// Returns a pool of twelve endpoints in two zones, without faults.
 fn endpoints() -> EndpointPool {
     EndpointPool {
         count: 12,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Clients of 33 tenants, which send less than the endpoints can serve.
+/// Returns the traffic of 33 tenants, at a request rate below the capacity of the endpoints.
 fn traffic() -> TenantTraffic {
     TenantTraffic {
         tenants: 33,
@@ -135,7 +135,7 @@
     }
 }
 
-/// Settings with all classes and plans.
+/// Returns settings with all classes and plans.
 fn settings(gateway_count: u32, plan_scale: f64) -> Settings {
     Settings {
         gateway_count,
@@ -152,8 +152,9 @@
     }
 }
 
-/// A scenario without faults, from which the other scenarios are derived.
-pub fn base(name: &'static str, gateway_count: u32, plan_scale: f64) -> Scenario {
+/// Returns the scenario from which the others are derived. Apart from a few aborted attempts and lost gossip
+/// datagrams it has no faults.
+pub fn base_scenario(name: &'static str, gateway_count: u32, plan_scale: f64) -> Scenario {
     Scenario {
         name,
         seeds: vec![1, 2],
@@ -178,32 +179,32 @@
     }
 }
 
-/// An endpoint has this fault from `at` on.
+/// Sets the fault of an endpoint at time `at`.
 pub fn fault(at: Timestamp, endpoint: usize, fault: Fault) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Fault(EndpointIndex(endpoint), fault))
 }
 
-/// The service time of an endpoint is multiplied by `factor` from `at` on.
+/// Sets the factor on the service times of an endpoint at time `at`.
 fn slow(at: Timestamp, endpoint: usize, factor: f64) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Slow(EndpointIndex(endpoint), factor))
 }
 
-/// An endpoint's process restarts.
+/// Restarts an endpoint at time `at`.
 pub fn restart(at: Timestamp, endpoint: usize) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Restart(EndpointIndex(endpoint)))
 }
 
-/// An endpoint is replaced by one of another name.
+/// Replaces an endpoint by one with a new name at time `at`.
 fn replace(at: Timestamp, endpoint: usize) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Replace(EndpointIndex(endpoint)))
 }
 
-/// A gateway restarts without its state.
+/// Restarts a gateway at time `at`, which loses its state.
 pub fn restart_gateway(at: Timestamp, gateway: u32) -> PlannedIncident {
     PlannedIncident::at(at, Incident::RestartGateway(GatewayId(gateway)))
 }
 
-/// Every fault of an endpoint once, and every change of the endpoint list.
+/// Returns incidents with every endpoint fault and every kind of change of the endpoint list.
 pub fn endpoint_faults() -> Vec<PlannedIncident> {
     let health_check = Incident::HealthCheck(EndpointIndex(2));
     vec![
--- a/examples/decision_digest/scenario/large_fleets.rs
+++ b/examples/decision_digest/scenario/large_fleets.rs
@@ -1,14 +1,14 @@
-//! Scenarios of 20 and of 300 gateways.
+//! Scenarios with 20 and with 300 gateways.
 
 use super::Scenario;
-use super::defaults::{base, endpoint_faults, fault, plans, restart, restart_gateway};
+use super::defaults::{base_scenario, endpoint_faults, fault, plans, restart, restart_gateway};
 use marlshelf::{Milliseconds, Timestamp};
 use marlshelf_simulation::{Fault, Surge, Tampering};
 
-/// All scenarios of large fleets, in the order of the output.
+/// Returns all scenarios of large fleets in the order of the output.
 pub fn all() -> Vec<Scenario> {
     vec![
-        twenty("twenty-steady"),
+        twenty_gateways("twenty-steady"),
         twenty_faults(),
         twenty_overload(),
         twenty_without_gossip(),
@@ -16,15 +16,14 @@
         twenty_low_intake(),
         twenty_tight_intake(),
         twenty_forged_gossip(),
-        hundreds("hundreds-steady"),
+        three_hundred_gateways("hundreds-steady"),
         hundreds_faults(),
         hundreds_overload(),
     ]
 }
 
-/// Twenty gateways without faults.
-fn twenty(name: &'static str) -> Scenario {
-    let mut scenario = base(name, 20, 4.0);
+fn twenty_gateways(name: &'static str) -> Scenario {
+    let mut scenario = base_scenario(name, 20, 4.0);
     scenario.fleet.endpoints.count = 30;
     scenario.fleet.endpoints.zones = 3;
     scenario.fleet.endpoints.cells = 6;
@@ -36,9 +35,9 @@
     scenario
 }
 
-/// Slow and lossy gossip, a network partition, every endpoint fault and a restarted gateway.
+/// Slow, lossy and damaged gossip, a network partition, all endpoint faults and a gateway restart.
 fn twenty_faults() -> Scenario {
-    let mut scenario = twenty("twenty-faults");
+    let mut scenario = twenty_gateways("twenty-faults");
     scenario.fleet.gossip.loss_ratio = 0.05;
     scenario.fleet.gossip.delay = Milliseconds(5.0)..Milliseconds(150.0);
     scenario.fleet.gossip.partition = Some(Timestamp(5000.0)..Timestamp(11_000.0));
@@ -54,9 +53,9 @@
     scenario
 }
 
-/// A surge of requests, and gateways that accept little gossip.
+/// A surge of requests with larger quotas, and a low limit on received gossip.
 fn twenty_overload() -> Scenario {
-    let mut scenario = twenty("twenty-overload");
+    let mut scenario = twenty_gateways("twenty-overload");
     scenario.fleet.settings.plans = plans(20.0);
     scenario.traffic.surge = Some(Surge {
         period: Timestamp(4000.0)..Timestamp(10_000.0),
@@ -66,18 +65,18 @@
     scenario
 }
 
-/// Twenty gateways without gossip, with every endpoint fault.
+/// Disabled gossip and all endpoint faults.
 fn twenty_without_gossip() -> Scenario {
-    let mut scenario = twenty("twenty-without-notes");
+    let mut scenario = twenty_gateways("twenty-without-notes");
     scenario.fleet.settings.gossip_enabled = false;
     scenario.fleet.settings.warmup_overload_multiple = 0.0;
     scenario.fleet.incidents = endpoint_faults();
     scenario
 }
 
-/// Most endpoints restart in a row, so that nearly all warm up at the same time.
+/// 30 of 33 endpoints restart at intervals of 100 ms, so that nearly all are warming up at the same time.
 fn twenty_mass_restart() -> Scenario {
-    let mut scenario = twenty("twenty-mass-restart");
+    let mut scenario = twenty_gateways("twenty-mass-restart");
     scenario.fleet.endpoints.count = 33;
     scenario.fleet.settings.warmup_overload_multiple = 0.0;
     scenario.fleet.incidents = (0..30)
@@ -91,24 +90,24 @@
     scenario
 }
 
-/// Gateways that accept little gossip.
+/// A very low limit on received gossip.
 fn twenty_low_intake() -> Scenario {
-    let mut scenario = twenty("twenty-low-intake");
+    let mut scenario = twenty_gateways("twenty-low-intake");
     scenario.fleet.settings.gossip_intake_per_second = 0.5;
     scenario
 }
 
-/// Gateways that accept barely as much gossip as there is.
+/// A limit on received gossip that is barely above the gossip rate.
 fn twenty_tight_intake() -> Scenario {
-    let mut scenario = twenty("twenty-tight-intake");
+    let mut scenario = twenty_gateways("twenty-tight-intake");
     scenario.seeds = vec![4, 5];
     scenario.fleet.settings.gossip_intake_per_second = 50.0;
     scenario
 }
 
-/// Gossip that arrives damaged or under false sender numbers, and endpoints that never respond.
+/// Damaged and forged gossip, endpoints that never respond, and a gateway restart.
 fn twenty_forged_gossip() -> Scenario {
-    let mut scenario = twenty("twenty-forged-notes");
+    let mut scenario = twenty_gateways("twenty-forged-notes");
     scenario.fleet.gossip.tampering = Some(Tampering {
         damage_ratio: 0.1,
         forgery_ratio: 0.3,
@@ -123,9 +122,8 @@
     scenario
 }
 
-/// 300 gateways without faults.
-fn hundreds(name: &'static str) -> Scenario {
-    let mut scenario = base(name, 300, 6.0);
+fn three_hundred_gateways(name: &'static str) -> Scenario {
+    let mut scenario = base_scenario(name, 300, 6.0);
     scenario.seeds = vec![1];
     scenario.fleet.endpoints.count = 40;
     scenario.fleet.endpoints.zones = 3;
@@ -138,9 +136,9 @@
     scenario
 }
 
-/// A network partition, every endpoint fault and a restarted gateway.
+/// A network partition, all endpoint faults and a gateway restart.
 fn hundreds_faults() -> Scenario {
-    let mut scenario = hundreds("hundreds-faults");
+    let mut scenario = three_hundred_gateways("hundreds-faults");
     scenario.fleet.gossip.partition = Some(Timestamp(5000.0)..Timestamp(11_000.0));
     scenario.fleet.incidents = endpoint_faults();
     scenario
@@ -150,9 +148,9 @@
     scenario
 }
 
-/// A surge of requests.
+/// A surge of requests with larger quotas.
 fn hundreds_overload() -> Scenario {
-    let mut scenario = hundreds("hundreds-overload");
+    let mut scenario = three_hundred_gateways("hundreds-overload");
     scenario.traffic.surge = Some(Surge {
         period: Timestamp(4000.0)..Timestamp(12_000.0),
         factor: 4.0,
--- a/examples/decision_digest/scenario/small_fleets.rs
+++ b/examples/decision_digest/scenario/small_fleets.rs
@@ -1,11 +1,11 @@
-//! Scenarios of one to three gateways.
+//! Scenarios with one to three gateways.
 
 use super::Scenario;
-use super::defaults::{base, endpoint_faults, fault, plans, restart, restart_gateway};
+use super::defaults::{base_scenario, endpoint_faults, fault, plans, restart, restart_gateway};
 use marlshelf::{Milliseconds, Timestamp, Tokens};
 use marlshelf_simulation::{EndpointWeights, Fault, IdlePeriod, Surge, Tampering};
 
-/// All scenarios of small fleets, in the order of the output.
+/// Returns all scenarios of small fleets in the order of the output.
 pub fn all() -> Vec<Scenario> {
     vec![
         one_gateway(),
@@ -23,14 +23,13 @@
     ]
 }
 
-/// Three gateways without faults.
 fn three_steady() -> Scenario {
-    base("three-steady", 3, 1.0)
+    base_scenario("three-steady", 3, 1.0)
 }
 
-/// Every endpoint fault, a network partition, damaged gossip and a restarted gateway.
+/// All endpoint faults, a network partition, damaged gossip and a gateway restart.
 fn three_faults() -> Scenario {
-    let mut scenario = base("three-faults", 3, 1.0);
+    let mut scenario = base_scenario("three-faults", 3, 1.0);
     scenario.fleet.gossip.partition = Some(Timestamp(4000.0)..Timestamp(10_000.0));
     scenario.fleet.gossip.tampering = Some(Tampering {
         damage_ratio: 0.02,
@@ -44,9 +43,9 @@
     scenario
 }
 
-/// A surge of requests, without a limit on the number of attempts.
+/// A surge of requests with an unlimited number of attempts.
 fn three_overload() -> Scenario {
-    let mut scenario = base("three-overload", 3, 6.0);
+    let mut scenario = base_scenario("three-overload", 3, 6.0);
     scenario.traffic.surge = Some(Surge {
         period: Timestamp(4000.0)..Timestamp(10_000.0),
         factor: 6.0,
@@ -55,9 +54,9 @@
     scenario
 }
 
-/// Most tenants are idle for almost a minute, and return one after another.
+/// Most tenants are idle for 56 s and then return one after another.
 fn three_with_idle_tenants() -> Scenario {
-    let mut scenario = base("three-idle-tenants", 3, 1.0);
+    let mut scenario = base_scenario("three-idle-tenants", 3, 1.0);
     scenario.traffic.requests_per_second = 60.0;
     scenario.traffic.idle = Some(IdlePeriod {
         period: Timestamp(6000.0)..Timestamp(62_000.0),
@@ -67,18 +66,18 @@
     scenario
 }
 
-/// Three gateways without gossip.
+/// Disabled gossip, no configured maximum request cost, and an endpoint restart.
 fn three_without_gossip() -> Scenario {
-    let mut scenario = base("three-without-notes", 3, 1.0);
+    let mut scenario = base_scenario("three-without-notes", 3, 1.0);
     scenario.fleet.settings.gossip_enabled = false;
     scenario.fleet.settings.max_request_cost = Tokens::ZERO;
     scenario.fleet.incidents = vec![restart(Timestamp(5000.0), 3)];
     scenario
 }
 
-/// Two gateways and one endpoint, without retries.
+/// Two gateways and one endpoint that has errors and restarts, without retries.
 fn two_gateways() -> Scenario {
-    let mut scenario = base("two-gateways", 2, 1.0);
+    let mut scenario = base_scenario("two-gateways", 2, 1.0);
     scenario.fleet.settings.max_attempts = 1;
     scenario.fleet.endpoints.count = 1;
     scenario.fleet.endpoints.service.cores = 16;
@@ -91,9 +90,9 @@
     scenario
 }
 
-/// One gateway in front of two endpoints.
+/// One gateway and two endpoints, one of which restarts. No weight is valid.
 fn one_gateway() -> Scenario {
-    let mut scenario = base("one-gateway", 1, 2.0);
+    let mut scenario = base_scenario("one-gateway", 1, 2.0);
     scenario.fleet.endpoints.count = 2;
     scenario.fleet.endpoints.service.cores = 16;
     scenario.fleet.endpoints.weights = EndpointWeights::PartlyInvalid;
@@ -102,18 +101,18 @@
     scenario
 }
 
-/// Endpoints without a valid weight, and gateways that accept next to no gossip.
+/// Endpoints with mostly invalid weights, and a limit of zero on received gossip.
 fn three_with_invalid_weights() -> Scenario {
-    let mut scenario = base("three-odd", 3, 1.0);
+    let mut scenario = base_scenario("three-odd", 3, 1.0);
     scenario.fleet.settings.gossip_intake_per_second = 0.0;
     scenario.fleet.endpoints.weights = EndpointWeights::PartlyInvalid;
     scenario.fleet.incidents = vec![restart(Timestamp(5000.0), 3)];
     scenario
 }
 
-/// Timers that fire too early, and a third of the endpoints without an answer to any request.
+/// Timers that fire early, lossy gossip, and a third of the endpoints that never respond.
 fn three_early_timers() -> Scenario {
-    let mut scenario = base("three-early-timers", 3, 1.0);
+    let mut scenario = base_scenario("three-early-timers", 3, 1.0);
     scenario.seeds = vec![1, 2, 3, 4];
     scenario.fleet.host_faults.max_timer_lead = Milliseconds(0.12);
     scenario.fleet.gossip.loss_ratio = 0.2;
@@ -126,18 +125,18 @@
     scenario
 }
 
-/// Half of all attempts fail, which is more than the retry budget covers.
+/// Half of all attempts fail, which exceeds the retry budget.
 fn three_with_errors() -> Scenario {
-    let mut scenario = base("three-errors", 3, 3.0);
+    let mut scenario = base_scenario("three-errors", 3, 3.0);
     scenario.fleet.incidents = (0..12)
         .map(|index| fault(Timestamp(1000.0), index, Fault::Errors(0.5)))
         .collect();
     scenario
 }
 
-/// Responses within a tenth of a millisecond, and two tenants with few concurrency permits.
+/// Response times below 0.1 ms, and two tenants with few concurrency permits.
 fn three_with_fast_endpoints() -> Scenario {
-    let mut scenario = base("three-fast", 3, 1.0);
+    let mut scenario = base_scenario("three-fast", 3, 1.0);
     let plans = plans(1.0);
     scenario.fleet.settings.plans = vec![plans[9].clone(), plans[6].clone()];
     scenario.fleet.endpoints.service.service_time = Milliseconds(0.04);
@@ -150,9 +149,9 @@
     scenario
 }
 
-/// Requests that take about a minute.
+/// Requests with a service time of about one minute.
 fn three_long_requests() -> Scenario {
-    let mut scenario = base("three-long-requests", 3, 1.0);
+    let mut scenario = base_scenario("three-long-requests", 3, 1.0);
     for class in &mut scenario.fleet.settings.classes {
         class.latency_objective = Milliseconds(200_000.0);
         class.late_answer_weight = 0.5;
