--- a/tests/process/attempts.rs
+++ b/tests/process/attempts.rs
@@ -1,32 +1,33 @@
-//! Attempts that fail or take too long: whether the request is retried, and what its client reads.
+//! Failed and timed-out attempts: retries, and the client's reply.
 
 use crate::support::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
 #[test]
-fn non_idempotent_request_fails_after_a_reset_and_is_rejected_after_a_busy_reply() {
+fn non_idempotent_request_fails_after_a_connection_reset_and_is_rejected_after_a_busy_reply() {
     let fleet = SingleEndpoint::start();
     let mut client = fleet.gateway.connect();
     client.send(write_request("pay", 5000));
     let mut connection = fleet.endpoint.next_connection();
     connection.read_command();
     drop(connection);
-    // It may have executed.
+    // The request may have executed, so the client must not retry it.
     client.expect_reply("-ERR failed");
     client.send(write_request("pay", 5000));
     let mut connection = fleet.endpoint.next_connection();
     connection.read_command();
     connection.send("-BUSY\r\n");
-    // It surely has not executed.
+    // The endpoint has rejected the request before executing it, so the client may retry it.
     client.expect_reply_prefix("-BUSY");
 }
 
 #[test]
-fn late_answer_never_reaches_the_next_request() {
+fn late_reply_to_a_timed_out_attempt_is_not_sent_as_reply_to_the_next_request() {
     let fleet = SingleEndpoint::start();
     let mut client = fleet.gateway.connect();
-    // After one success no random draw sheds load: the timeout below is the only failure.
+    // One success before the timeout keeps the gateway from shedding the later requests at random. The
+    // timeout is the only failure.
     let first = read_request_with_id("0000000000000001", 5000);
     let mut late = complete_on_new_connection(&mut client, first, &fleet.endpoint, "first");
     thread::sleep(CONNECTION_REUSE_PAUSE);
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn only_an_exact_busy_reply_means_that_the_attempt_did_not_execute() {
+fn only_an_exact_busy_reply_is_treated_as_not_executed() {
     struct Case {
         reply: &'static str,
         means_not_executed: bool,
@@ -84,7 +85,7 @@
     }
 }
 
-/// The first connection that either endpoint accepts.
+/// Returns the first connection that either endpoint accepts.
 #[track_caller]
 fn next_connection_of_either(endpoints: &[StandInEndpoint; 2]) -> Connection {
     let mut accepted = None;
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn retry_is_given_the_time_that_is_left_to_the_client() {
+fn deadline_of_a_retry_is_the_remaining_time_of_the_first_attempt() {
     let endpoints = [StandInEndpoint::start(), StandInEndpoint::start()];
     let listed = [
         ready_endpoint("s-1", endpoints[0].address),
@@ -110,8 +111,9 @@
     client.send(read_request(5000));
     let mut first_attempt = next_connection_of_either(&endpoints);
     let first_deadline_ms = first_attempt.read_command().deadline_ms();
-    // Measured between two events that both lie after the gateway's receipt of the request. The time from the client's
-    // send to the receipt is unknown to the gateway, and exceeds its margin of 6 ms on a loaded machine.
+    // Both ends of the measured interval are after the gateway has received the request. The gateway cannot
+    // know the time from the client's send to the receipt, which exceeds its margin of 6 ms on a loaded
+    // machine.
     let first_attempt_received = Instant::now();
     thread::sleep(Duration::from_millis(300));
     let elapsed_ms = first_attempt_received.elapsed().as_millis();
@@ -124,8 +126,8 @@
     );
     assert!(
         u128::from(retry_deadline_ms) + elapsed_ms <= u128::from(first_deadline_ms),
-        "expected what is left of the first attempt's {first_deadline_ms} ms after {elapsed_ms} ms, got \
-         {retry_deadline_ms} ms"
+        "expected at most the time left of the first attempt's {first_deadline_ms} ms after {elapsed_ms} ms, \
+         got {retry_deadline_ms} ms"
     );
     retry.send_value("in time");
     client.expect_reply("in time");
--- a/tests/process/descriptor_limit.rs
+++ b/tests/process/descriptor_limit.rs
@@ -1,4 +1,5 @@
-//! The limit on file descriptors: idle clients fill their part of it, and leave discovery and endpoints theirs.
+//! Partition of the file descriptor limit: clients that use up their share do not take descriptors from
+//! discovery and endpoints.
 
 use crate::support::*;
 use std::sync::Arc;
@@ -6,15 +7,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The parts of the limit, in percent, that the README and the gateway give clients and endpoints.
+/// Shares of the descriptor limit that the gateway assigns to clients and endpoints, in percent. The README
+/// documents them.
 const CLIENT_PERCENT: usize = 33;
 const ENDPOINT_PERCENT: usize = 45;
-/// The part of the limit, in percent, that has to be free at the worst.
+/// Share of the descriptor limit, in percent, that must always stay free.
 const SPARE_PERCENT: usize = 10;
 
 #[track_caller]
 fn wait_until_descriptors_reach(gateway: &GatewayProcess, count: usize) {
-    wait_until("the descriptors of the clients' part are in use", || {
+    wait_until("the descriptors of the clients' share are in use", || {
         gateway.open_descriptors() >= count
     });
 }
@@ -28,8 +30,8 @@
     );
 }
 
-/// Sends a request until it is forwarded: the gateway may close a client's connection before it has read the request.
-/// Begins with the idle client, if there is one.
+/// Sends a request, and repeats it on new connections until it is forwarded, because the gateway may close a
+/// client's connection before it has read the request. The first connection is the idle client's, if given.
 fn send_until_forwarded(
     gateway: &GatewayProcess,
     idle_client: Option<Connection>,
@@ -39,7 +41,7 @@
     let mut idle_client = idle_client;
     loop {
         let mut client = idle_client.take().unwrap_or_else(|| gateway.connect());
-        // The loop below sees that the connection was closed.
+        // If the connection is already closed, the loop below detects it.
         client.try_send(read_request(8000));
         let stream = client.stream.get_ref();
         while !is_closed_now(&mut stream.try_clone().expect("the socket can be cloned")) {
@@ -62,16 +64,17 @@
     }
 }
 
-/// How discovery is unavailable.
+/// Behaviour of the discovery service during an outage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Outage {
-    /// Connections are refused.
+    /// Refuses connections.
     Refusing,
-    /// Connections are completed and never answered.
+    /// Accepts connections and never responds.
     Hanging,
 }
 
-/// Sends one event on every watch: some of the watches may have been opened during the outage and given up.
+/// Sends the same event on every watch, because the gateway may have abandoned watches that it opened during
+/// the outage.
 struct WatchNotifier {
     stopping: Arc<AtomicBool>,
     notified: Arc<AtomicBool>,
@@ -115,7 +118,8 @@
     }
 }
 
-/// Discovery recovers: the endpoint `s-1` is removed, and `s-2` is ready at this address.
+/// Ends the outage. Discovery then reports that endpoint `s-1` is removed and that `s-2`, the new endpoint,
+/// is ready.
 fn end_outage(port: ReservedPort, outage: Outage, new_endpoint: &StandInEndpoint) -> WatchNotifier {
     if outage == Outage::Refusing {
         port.listen();
@@ -131,8 +135,8 @@
     WatchNotifier::start(discovery, change)
 }
 
-/// Idle clients try to use every descriptor during an outage of discovery. Requests are forwarded all the same, and
-/// the gateway opens its watch and connects to a new endpoint once the outage ends.
+/// Connects as many idle clients as there are descriptors during a discovery outage. Checks that requests are
+/// still forwarded, and that the gateway opens its watch and connects to a new endpoint after the outage.
 fn check_watch_and_endpoints_at_the_limit(
     kinds: &[IdleClientKind],
     socket_limit: u32,
@@ -151,10 +155,10 @@
         ..GatewayConfig::new(port.address)
     }
     .start();
-    let client_part = socket_limit as usize * CLIENT_PERCENT / 100;
-    // Far more than the clients' part: as many as would use every descriptor.
+    let client_share = socket_limit as usize * CLIENT_PERCENT / 100;
+    // Without a limit on the clients' share, these clients would use all descriptors.
     let _idle_clients = IdleClients::connect(gateway.address, kinds, socket_limit as usize);
-    wait_until_descriptors_reach(&gateway, client_part);
+    wait_until_descriptors_reach(&gateway, client_share);
 
     let mut known = send_until_forwarded(&gateway, None, &known_endpoint);
     known.complete("known");
@@ -168,55 +172,55 @@
         (None, "a new client"),
         (Some(known.client), "an idle client"),
     ] {
-        // The connection to the endpoint is dropped each time, so that the next request needs a new one.
+        // The endpoint side of the connection is dropped each time, so each request needs a new connection.
         send_until_forwarded(&gateway, idle_client, &new_endpoint).complete(value);
     }
-    wait_until_descriptors_reach(&gateway, client_part);
+    wait_until_descriptors_reach(&gateway, client_share);
     expect_descriptors_never_ran_out(&gateway);
     notifier.stop();
 }
 
 #[test]
-fn silent_clients_at_the_limit_leave_descriptors_for_the_watch_and_the_endpoints() {
+fn watch_and_endpoints_get_descriptors_when_silent_clients_reach_the_limit() {
     let kinds = [IdleClientKind::Silent];
     check_watch_and_endpoints_at_the_limit(&kinds, 256, Outage::Refusing);
     check_watch_and_endpoints_at_the_limit(&kinds, 256, Outage::Hanging);
 }
 
 #[test]
-fn clients_with_partial_commands_at_the_limit_leave_descriptors_for_the_watch_and_the_endpoints() {
+fn watch_and_endpoints_get_descriptors_when_clients_with_partial_commands_reach_the_limit() {
     let kinds = [IdleClientKind::PartialCommand];
     check_watch_and_endpoints_at_the_limit(&kinds, 256, Outage::Refusing);
     check_watch_and_endpoints_at_the_limit(&kinds, 256, Outage::Hanging);
 }
 
 #[test]
-fn clients_between_commands_at_the_limit_leave_descriptors_for_the_watch_and_the_endpoints() {
+fn watch_and_endpoints_get_descriptors_when_clients_between_commands_reach_the_limit() {
     let kinds = [IdleClientKind::BetweenCommands];
     check_watch_and_endpoints_at_the_limit(&kinds, 256, Outage::Refusing);
     check_watch_and_endpoints_at_the_limit(&kinds, 256, Outage::Hanging);
 }
 
 #[test]
-fn idle_clients_of_every_kind_at_the_limit_leave_descriptors_for_the_watch_and_the_endpoints() {
+fn watch_and_endpoints_get_descriptors_when_idle_clients_of_every_kind_reach_the_limit() {
     check_watch_and_endpoints_at_the_limit(&IdleClientKind::ALL, 256, Outage::Refusing);
     check_watch_and_endpoints_at_the_limit(&IdleClientKind::ALL, 1024, Outage::Hanging);
 }
 
 const SOCKET_LIMIT: u32 = 256;
 const DESCRIPTORS: usize = SOCKET_LIMIT as usize;
-const CLIENT_PART: usize = DESCRIPTORS * CLIENT_PERCENT / 100;
-const ENDPOINT_PART: usize = DESCRIPTORS * ENDPOINT_PERCENT / 100;
+const CLIENT_SHARE: usize = DESCRIPTORS * CLIENT_PERCENT / 100;
+const ENDPOINT_SHARE: usize = DESCRIPTORS * ENDPOINT_PERCENT / 100;
 
-/// A gateway with a gossip socket and many endpoints, whose clients and endpoints use all descriptors they may.
+/// A gateway with a gossip socket whose clients and endpoints use up their shares of the descriptors.
 struct FullGateway {
     gateway: GatewayProcess,
     config: GatewayConfig,
     discovery: StandInDiscovery,
     watch: Watch,
-    /// Clients with two requests each.
+    /// Clients that have sent two requests each.
     clients: Vec<Connection>,
-    /// The client that fills the table, with one request.
+    /// The client that fills the connection table. It has sent one request.
     last_client: Connection,
     forwarded: Vec<Connection>,
     _endpoints: Vec<StandInEndpoint>,
@@ -240,17 +244,18 @@
         };
         let gateway = config.start();
         let watch = discovery.next_watch();
-        let mut clients: Vec<Connection> = (1..CLIENT_PART).map(|_| gateway.connect()).collect();
+        let mut clients: Vec<Connection> = (1..CLIENT_SHARE).map(|_| gateway.connect()).collect();
         for client in &mut clients {
             client.send([read_request(9000), read_request(9000)].concat());
         }
-        let forwarded = wait_until_endpoint_part_is_used(&endpoints);
-        // The client that fills the table would be evicted if it had sent nothing when it is accepted.
+        let forwarded = wait_until_endpoint_share_is_used(&endpoints);
+        // The gateway would evict the client that fills the table if its request had not arrived when the
+        // gateway accepts it.
         gateway.signal(Signal::Stop);
         let mut last_client = gateway.connect();
         last_client.send(read_request(9000));
         gateway.signal(Signal::Continue);
-        wait_until_descriptors_reach(&gateway, CLIENT_PART + ENDPOINT_PART);
+        wait_until_descriptors_reach(&gateway, CLIENT_SHARE + ENDPOINT_SHARE);
         FullGateway {
             gateway,
             config,
@@ -263,7 +268,8 @@
         }
     }
 
-    /// The gateway opens a new watch and reads its configuration, while new clients find no client to evict.
+    /// Expects that the gateway can reopen its watch and reload its configuration while the connection table
+    /// is full and no client can be evicted, and that it keeps a margin of free descriptors.
     fn expect_descriptors_for_watch_and_reload(&mut self) {
         self.watch.send_malformed();
         let _watch = self.discovery.next_watch();
@@ -272,18 +278,20 @@
         let _watch = self.discovery.next_watch();
         let open = self.gateway.open_descriptors();
         assert!(
-            open >= CLIENT_PART + ENDPOINT_PART
+            open >= CLIENT_SHARE + ENDPOINT_SHARE
                 && open + DESCRIPTORS * SPARE_PERCENT / 100 <= DESCRIPTORS,
-            "expected full parts and a margin of {SPARE_PERCENT} %, got {open} of {SOCKET_LIMIT} descriptors in use"
+            "expected used-up shares and a margin of {SPARE_PERCENT} %, \
+             got {open} of {SOCKET_LIMIT} descriptors in use"
         );
     }
 
-    /// Every request that has reached an endpoint gets the answer of that endpoint, on its client's connection.
+    /// Answers every forwarded request, and expects that its client receives the value and that all other
+    /// requests are rejected.
     fn expect_forwarded_requests_answered(&mut self) {
         assert_eq!(
             self.forwarded.len(),
-            ENDPOINT_PART,
-            "expected as many forwarded requests as the endpoints' part holds"
+            ENDPOINT_SHARE,
+            "expected as many forwarded requests as descriptors in the endpoints' share"
         );
         for connection in &mut self.forwarded {
             connection.answer_request("served");
@@ -301,31 +309,31 @@
             }
         }
         assert_eq!(
-            served, ENDPOINT_PART,
+            served, ENDPOINT_SHARE,
             "expected an answer for every forwarded request"
         );
         self.last_client.expect_reply_prefix("-BUSY");
     }
 }
 
-/// Takes the connections to these endpoints until they use the endpoints' part.
-fn wait_until_endpoint_part_is_used(endpoints: &[StandInEndpoint]) -> Vec<Connection> {
+/// Accepts connections from the gateway until they use up the endpoints' share of the descriptors.
+fn wait_until_endpoint_share_is_used(endpoints: &[StandInEndpoint]) -> Vec<Connection> {
     let mut forwarded = Vec::new();
-    wait_until("the endpoints' part is used", || {
+    wait_until("the endpoints' share is used up", || {
         let accepted = endpoints
             .iter()
             .flat_map(StandInEndpoint::accepted_connections);
         forwarded.extend(accepted);
-        forwarded.len() >= ENDPOINT_PART
+        forwarded.len() >= ENDPOINT_SHARE
     });
     forwarded
 }
 
 #[test]
-fn clients_and_endpoints_at_their_limits_leave_a_margin_and_forwarded_requests_are_answered() {
+fn free_margin_remains_and_forwarded_requests_are_answered_when_all_shares_are_used_up() {
     let mut full = FullGateway::start();
     let _idle_clients =
-        IdleClients::connect(full.gateway.address, &IdleClientKind::ALL, CLIENT_PART);
+        IdleClients::connect(full.gateway.address, &IdleClientKind::ALL, CLIENT_SHARE);
     full.expect_descriptors_for_watch_and_reload();
     full.expect_forwarded_requests_answered();
     expect_descriptors_never_ran_out(&full.gateway);
--- a/tests/process/graceful_shutdown.rs
+++ b/tests/process/graceful_shutdown.rs
@@ -1,9 +1,10 @@
-//! Graceful shutdown after SIGTERM: accepted requests are answered, and the peers' quota requests too.
+//! Graceful shutdown after SIGTERM: accepted client requests and quota requests of peers are answered.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// Connects a client and sends this while the gateway accepts new connections.
+/// Connects a client and sends `input` within the accept grace period. Returns an error if the period ends
+/// first.
 fn client_in_accept_grace(
     gateway: &GatewayProcess,
     shutdown: &ShutdownClock,
@@ -25,7 +26,7 @@
     let mut in_flight = fleet.start_request(read_request(8000));
     let shutdown = ShutdownClock::terminate(&fleet.gateway);
     fleet.gateway.wait_for_log(LOG_SHUTTING_DOWN);
-    // New connections are accepted and served for a grace period.
+    // The gateway accepts and serves new connections during the accept grace period.
     let started = Instant::now();
     while started.elapsed() < Duration::from_millis(150) {
         client_in_accept_grace(&fleet.gateway, &shutdown, ping_command())?.expect_reply("+PONG");
@@ -46,12 +47,12 @@
 }
 
 #[test]
-fn sigterm_closes_idle_connections_and_answers_accepted_requests_before_the_exit() {
+fn idle_connections_are_closed_and_accepted_requests_are_answered_after_sigterm() {
     check_once_set_up(check_connections_after_sigterm);
 }
 
 #[test]
-fn quota_requests_of_peers_are_answered_during_the_shutdown_until_the_exit() {
+fn quota_requests_of_peers_are_answered_during_the_shutdown() {
     let mut pair = GatewayWithPeer::start();
     pair.gateway.begin_shutdown();
     for number in 1..10 {
@@ -64,13 +65,14 @@
     pair.gateway.expect_successful_exit();
 }
 
-/// Fills the connection table of a gateway with a limit of 64 sockets: 21 clients, each with a request in flight, so
-/// that none of them can be evicted.
+/// Fills the connection table of a gateway that has a limit of 64 sockets. The 21 clients cannot be evicted,
+/// because each has a request in flight.
 fn fill_connection_table(fleet: &SingleEndpoint) -> Vec<InFlightRequest> {
     const TABLE_SIZE: usize = 21;
     let mut in_flight = Vec::new();
     for index in 0..TABLE_SIZE {
-        // The last client fills the table, and would be evicted if it had sent nothing when it is accepted.
+        // The last client fills the table. The gateway would evict it if its request had not arrived when the
+        // gateway accepts it.
         let is_last = index == TABLE_SIZE - 1;
         fleet.gateway.signal(if is_last {
             Signal::Stop
@@ -117,7 +119,7 @@
     idle.expect_pong();
     let shutdown = ShutdownClock::terminate(&fleet.gateway);
     idle.expect_close("it is idle during a graceful shutdown");
-    // Pipelined behind a request in flight. The endpoint does not answer this one either.
+    // This request is pipelined behind a request in flight, and the endpoint does not answer it.
     answered.client.send(read_request(60_000));
     shutdown.check()?;
     answered.complete("in time");
@@ -129,7 +131,7 @@
         deadline_ms < 3700,
         "expected a deadline within the shutdown timeout, got {deadline_ms} ms"
     );
-    // Both are answered far ahead of their own deadlines.
+    // The gateway answers both requests long before their deadlines of 60 s.
     unanswered.client.expect_reply_prefix("-");
     answered.client.expect_reply_prefix("-");
     fleet.gateway.expect_successful_exit();
@@ -137,18 +139,19 @@
 }
 
 #[test]
-fn request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit() {
+fn requests_with_deadlines_beyond_the_shutdown_timeout_are_answered_before_the_exit() {
     check_once_set_up(check_requests_that_outlast_the_shutdown);
 }
 
-/// A gateway that waits for its first endpoint list, with discovery not answering. A gateway that was so slow to
-/// start that it has stopped waiting is no case of this, so that several are tried. Discovery is returned as well: it
-/// outlives the gateway, which would call its port until the end, whoever had it by then.
+/// Starts a gateway that waits for its first endpoint list, because discovery does not respond. Starts up to
+/// 100 gateways, because one on a slow machine may already have stopped waiting. Also returns the discovery
+/// service, which must outlive the gateway: the gateway connects to its port until it exits, even if another
+/// socket has the port.
 fn gateway_awaiting_its_first_list() -> (GatewayProcess, ManualDiscovery) {
     let mut attempts = (0..100).map(|_| {
         let silent_discovery = ManualDiscovery::start();
         let gateway = GatewayConfig::new(silent_discovery.address).spawn();
-        // The gateway handles signals from before its poll on.
+        // The gateway installs its signal handlers before its first poll.
         let _poll = silent_discovery.next_connection();
         (gateway, silent_discovery)
     });
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn sigterm_ends_a_gateway_that_waits_for_its_first_endpoint_list() {
+fn gateway_that_waits_for_its_first_endpoint_list_exits_after_sigterm() {
     let (mut gateway, _discovery) = gateway_awaiting_its_first_list();
     gateway.signal(Signal::Terminate);
     gateway.wait_for_log(LOG_SHUTTING_DOWN);
--- a/tests/process/main.rs
+++ b/tests/process/main.rs
@@ -1,4 +1,5 @@
-//! The built gateway over loopback sockets, against stand-ins for clients, endpoints, discovery and a second gateway.
+//! End-to-end tests of the gateway binary over loopback sockets. Stand-ins replace clients, endpoints,
+//! discovery and the peer gateway.
 
 mod attempts;
 mod client_connections;
--- a/tests/process/resource_limits.rs
+++ b/tests/process/resource_limits.rs
@@ -1,9 +1,9 @@
-//! Limits on memory and on the file descriptors that the system grants.
+//! Limits on memory and on file descriptors of the process.
 
 use crate::support::*;
 
 #[test]
-fn buffered_partial_commands_stay_within_the_memory_limit() {
+fn partial_commands_beyond_the_memory_limit_are_rejected() {
     let fleet = SingleEndpoint::configured(|config| config.memory_mb = 32);
     let partial_command = [&b"*2\r\n$4\r\nPING\r\n$65000\r\n"[..], &vec![b'x'; 60_000]].concat();
     let mut clients: Vec<Connection> = (0..150).map(|_| fleet.gateway.connect()).collect();
@@ -25,7 +25,7 @@
 
 #[test]
 fn gateway_recovers_after_the_system_runs_out_of_file_descriptors() {
-    // The system grants fewer descriptors than the configuration says.
+    // The process limit on descriptors is lower than the configured one.
     let fleet =
         SingleEndpoint::configured(|config| config.shell_prefix = "ulimit -n 32; exec".into());
     let mut clients: Vec<Connection> = Vec::new();
--- a/tests/process/serving.rs
+++ b/tests/process/serving.rs
@@ -1,9 +1,9 @@
-//! Requests that are forwarded to an endpoint and answered.
+//! Forwarding of requests to an endpoint and of replies to the client.
 
 use crate::support::*;
 
 #[test]
-fn request_is_forwarded_unchanged_except_for_its_deadline() {
+fn all_arguments_of_a_request_except_the_deadline_are_forwarded_unchanged() {
     let fleet = SingleEndpoint::start();
     let mut client = fleet.gateway.connect();
     client.send(write_request("order", 3000));
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn pipelined_requests_start_at_once_and_are_answered_in_order() {
+fn pipelined_requests_are_forwarded_concurrently_and_answered_in_order() {
     let fleet = SingleEndpoint::start();
     let mut client = fleet.gateway.connect();
     client.send([read_request(5000), ping_command(), read_request(5000)].concat());
-    // It is open which connection carries which request. Both requests are in flight before either is answered.
+    // Either connection may carry either request. Both requests are in flight before either is answered.
     let mut first = fleet.endpoint.next_connection();
     let mut second = fleet.endpoint.next_connection();
     first.read_command();
@@ -62,8 +62,9 @@
     }
 }
 
-/// How many of ten requests of one token each are answered if the bucket holds ten tokens and is hardly refilled, and
-/// each answer comes with this usage report.
+/// Sends up to ten requests that cost one token each, with a bucket of ten tokens and almost no refill. Each
+/// answer carries the given usage report. Returns the number of requests that are answered before the first
+/// rejection.
 fn answered_requests_with_usage(usage: &'static str) -> usize {
     let SingleEndpoint {
         endpoint,
@@ -81,7 +82,7 @@
     replies.take_while(|reply| reply == "x").count()
 }
 
-/// Answers every request on every connection, with this usage report.
+/// Answers every request on every connection, with the given usage report.
 fn answer_all_requests(endpoint: StandInEndpoint, usage: &'static str) {
     std::thread::spawn(move || {
         for mut connection in endpoint.into_connections() {
@@ -97,11 +98,11 @@
 }
 
 #[test]
-fn reported_cost_of_an_answer_is_charged_and_an_invalid_report_is_ignored() {
+fn valid_reported_cost_is_charged_and_invalid_usage_reports_are_ignored() {
     assert_eq!(
         answered_requests_with_usage("used=37,cost=4"),
         3,
-        "expected three answers, which use twelve of ten tokens"
+        "expected three answers, which cost twelve tokens and exhaust the bucket of ten"
     );
     for invalid_report in [
         "used=37",
@@ -116,7 +117,7 @@
         assert_eq!(
             answered_requests_with_usage(invalid_report),
             10,
-            "{invalid_report:?}: expected that the estimated cost is charged"
+            "{invalid_report:?}: expected the estimated cost to be charged"
         );
     }
 }
--- a/tests/process/support/config.rs
+++ b/tests/process/support/config.rs
@@ -1,22 +1,22 @@
-//! The gateway's configuration, with the parts that differ from test to test as fields.
+//! Gateway configuration, with the parts that tests vary as fields.
 
 use super::GatewayProcess;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Listens on any free port of the loopback interface.
+/// Listen address for any free port of the loopback interface.
 pub const ANY_PORT: &str = "127.0.0.1:0";
-/// Starts the gateway in the shell's place, without changing its resource limits.
+/// Shell prefix that replaces the shell with the gateway and keeps its resource limits.
 pub const NO_SHELL_LIMITS: &str = "exec";
 
 pub const DEFAULT_LIMITS: &str = r#""ConnectTimeout":5000.0,"ConnIdle":600000.0"#;
-/// Limits for requests with the longest deadline: a connection may take as long to open as the gateway allows.
+/// Limits with the longest connect timeout that the gateway allows, for requests with the longest deadline.
 const LONGEST_WAIT_LIMITS: &str = r#""ConnectTimeout":60000.0,"ConnIdle":600000.0"#;
-/// The default limits, for a gateway that has a gossip socket.
+/// The default limits with gossip enabled.
 pub const GOSSIP_LIMITS: &str = r#""ConnectTimeout":5000.0,"ConnIdle":600000.0,"Peers":true"#;
 
-/// A plan that no test exhausts, without its closing members.
+/// Quota of a plan that no test exhausts. The name and the weight of the plan are added later.
 pub const DEFAULT_PLAN: &str = r#""UnitsPerS":1000.0,"PeakUnits":1000.0"#;
 
 #[derive(Clone)]
@@ -24,20 +24,20 @@
     pub listen: String,
     pub gossip_listen: String,
     pub discovery: String,
-    /// The endpoint list that is known before discovery answers, as JSON.
+    /// Endpoint list that the gateway uses until discovery responds, as JSON.
     pub known_list: String,
     pub socket_limit: u32,
     pub memory_mb: u32,
-    /// Members of the limits, besides the number of attempts.
+    /// JSON members of the limits, except for the number of attempts.
     pub limits: &'static str,
-    /// Members of the tenants' plan: refill rate, burst and concurrency limit.
+    /// JSON members of the tenants' plan: refill rate, burst and concurrency limit.
     pub plan: String,
-    /// The latency objective of the class `read`, as a JSON number. It bounds the attempts, the waits for permits and
-    /// the latency at which an endpoint counts as full.
+    /// Latency objective of the class `read`, as a JSON number. It limits the duration of attempts, the wait
+    /// for a permit, and the latency above which an endpoint counts as full.
     pub read_objective_ms: &'static str,
-    /// The longest deadline of the class `read`, as a JSON number.
+    /// Maximum deadline of the class `read`, as a JSON number.
     pub read_deadline_ms: &'static str,
-    /// What the shell runs before the program; `exec` or something that ends in it.
+    /// Shell commands before the gateway program. They end with `exec`.
     pub shell_prefix: String,
 }
 
@@ -58,9 +58,10 @@
         }
     }
 
-    /// Has requests of the class `read` with [`LONGEST_DEADLINE_MS`](super::LONGEST_DEADLINE_MS) wait for permits and
-    /// connections for as long as the gateway ever lets a request wait, and their latency never count as overload.
-    /// The other classes keep their objective, from which the gateway guesses its first wait for a permit.
+    /// Configures the longest supported waits for permits and connections, for requests of the class `read`
+    /// with [`LONGEST_DEADLINE_MS`](super::LONGEST_DEADLINE_MS), and a latency objective that no request
+    /// exceeds, so that no latency counts as overload. The other classes keep their objectives, because the
+    /// gateway derives its first estimate of the wait for a permit from them.
     pub fn with_longest_waits(self) -> GatewayConfig {
         GatewayConfig {
             limits: LONGEST_WAIT_LIMITS,
@@ -75,7 +76,7 @@
         GatewayProcess::start(&self.json(), &self.shell_prefix)
     }
 
-    /// Starts a gateway that may not serve clients yet.
+    /// Starts a gateway without waiting until it serves clients.
     pub fn spawn(&self) -> GatewayProcess {
         GatewayProcess::spawn(&self.json(), &self.shell_prefix)
     }
@@ -108,7 +109,7 @@
     }
 }
 
-/// Writes a configuration file that no other test uses.
+/// Writes the configuration to a new temporary file that no other test uses.
 pub fn write_config_file(text: &str) -> PathBuf {
     static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
--- a/tests/process/support/connection.rs
+++ b/tests/process/support/connection.rs
@@ -1,4 +1,4 @@
-//! One end of a connection that speaks RESP: a client's, or a stand-in endpoint's.
+//! The client side or the endpoint side of a RESP connection to the gateway.
 
 use super::{TEST_TIMEOUT, ping_command};
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -23,7 +23,7 @@
         &self.arguments[2]
     }
 
-    /// The key-value fields, as sent.
+    /// Returns the key-value fields in their encoded form.
     pub fn fields(&self) -> &str {
         &self.arguments[3]
     }
@@ -32,7 +32,7 @@
         &self.arguments[4]
     }
 
-    /// The time that the endpoint is given for this attempt.
+    /// Returns the deadline that the gateway set for this attempt.
     pub fn deadline_ms(&self) -> u64 {
         let (_, rest) = self
             .fields()
@@ -43,8 +43,8 @@
     }
 }
 
-/// Repeats a read that was interrupted. The kernel interrupts a read with a timeout when the process is stopped and
-/// continued, as a debugger does.
+/// Repeats a read while it fails with `EINTR`. The kernel interrupts a read with a timeout when the process
+/// is stopped and continued, for example by a debugger.
 pub fn retry_interrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match read() {
@@ -75,7 +75,7 @@
             .expect("the connection takes the bytes");
     }
 
-    /// Sends on a connection that the other end may have closed already.
+    /// Sends on a connection that the other end may have closed.
     pub fn try_send(&mut self, bytes: impl AsRef<[u8]>) {
         let _ = self.stream.get_mut().write_all(bytes.as_ref());
     }
@@ -88,7 +88,7 @@
         line.trim_end().to_string()
     }
 
-    /// Reads a simple reply, or the value of a bulk string.
+    /// Reads a one-line reply or the value of a bulk string.
     pub fn read_reply(&mut self) -> String {
         let head = self.read_line();
         if head.starts_with('$') {
@@ -116,7 +116,7 @@
         );
     }
 
-    /// Sends a PING and expects its reply.
+    /// Sends a PING and expects `+PONG`.
     #[track_caller]
     pub fn expect_pong(&mut self) {
         self.send(ping_command());
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Answers a forwarded request with this value and a load report.
+    /// Answers a forwarded request with a value and a load report.
     pub fn send_value(&mut self, value: &str) {
         self.send(format!(
             "*3\r\n${}\r\n{value}\r\n$-1\r\n$17\r\nutil=0.61,qps=9.5\r\n",
@@ -142,14 +142,14 @@
         ));
     }
 
-    /// Reads a forwarded request and answers it with this value.
+    /// Reads a forwarded request and answers it with a value.
     pub fn answer_request(&mut self, value: &str) -> ReceivedCommand {
         let command = self.read_command();
         self.send_value(value);
         command
     }
 
-    /// Whether bytes have arrived that are not read yet.
+    /// Returns whether the socket has unread input.
     pub fn has_unread_input(&mut self) -> bool {
         let stream = self.stream.get_mut();
         stream
@@ -162,13 +162,13 @@
         has_input
     }
 
-    /// Waits for the next byte or the end of the stream; true if a byte is there, which is not consumed.
+    /// Waits for input or the end of the stream. Returns true if there is input, without consuming it.
     pub fn has_further_input(&mut self) -> bool {
         let input = retry_interrupted(|| self.stream.fill_buf().map(<[u8]>::len));
         input.is_ok_and(|length| length > 0)
     }
 
-    /// Who made the connection, and what has arrived on it so far. For messages of failed checks.
+    /// Returns the peer address and the input so far, for the message of a failed check.
     pub fn describe(&mut self) -> String {
         let peer = self.stream.get_ref().peer_addr();
         if !self.has_unread_input() {
@@ -179,12 +179,13 @@
         format!("connection from {peer:?}, input {input:?}: {received:?}")
     }
 
-    /// Waits for the next byte or the end of the stream; true if the other end has closed or reset the connection.
+    /// Waits for input or the end of the stream. Returns true if the other end has closed or reset the
+    /// connection.
     pub fn is_closed_by_peer(&mut self) -> bool {
         is_close(&retry_interrupted(|| self.stream.read(&mut [0; 1])))
     }
 
-    /// Expects the other end to close the connection without sending anything more.
+    /// Expects the other end to close the connection without sending further data.
     #[track_caller]
     pub fn expect_close(&mut self, reason: &str) {
         let mut byte = [0; 1];
@@ -196,7 +197,7 @@
         );
     }
 
-    /// Ends the sending direction only.
+    /// Closes the sending direction.
     pub fn half_close(&self) {
         self.stream
             .get_ref()
@@ -204,7 +205,7 @@
             .expect("the connection is open");
     }
 
-    /// Ends both directions at once, also where another process still holds a copy of the socket.
+    /// Closes both directions, even if another process still holds a copy of the socket.
     pub fn shut_down(&self) {
         self.stream
             .get_ref()
@@ -213,7 +214,7 @@
     }
 }
 
-/// Whether a read has found the connection closed or reset by the other end.
+/// Returns whether the result of a read means that the other end has closed or reset the connection.
 fn is_close(read: &io::Result<usize>) -> bool {
     match read {
         Ok(length) => *length == 0,
--- a/tests/process/support/disconnects.rs
+++ b/tests/process/support/disconnects.rs
@@ -1,4 +1,4 @@
-//! The ways in which clients disconnect, in both phases of a gateway's life.
+//! Kinds of client disconnects, in a serving gateway and during its graceful shutdown.
 
 use super::{Connection, GatewayProcess, Signal, unconnected_stream, wait_until_disconnected};
 use std::io::BufReader;
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Disconnect {
-    /// The client ends its sending direction and goes on reading.
+    /// The client closes its sending direction and continues to read.
     HalfClose,
     Close,
     Reset,
@@ -15,7 +15,8 @@
 impl Disconnect {
     pub const ALL: [Disconnect; 3] = [Disconnect::HalfClose, Disconnect::Close, Disconnect::Reset];
 
-    /// Disconnects these clients and waits until the kernel has delivered each disconnect to the gateway's end.
+    /// Disconnects the clients and waits until the kernel has delivered each disconnect to the gateway's
+    /// socket.
     #[track_caller]
     pub fn apply(self, gateway: &GatewayProcess, clients: &mut [Connection]) {
         let ports: Vec<u16> = clients.iter().map(local_port).collect();
@@ -31,7 +32,7 @@
         }
         match self {
             Disconnect::HalfClose => client.half_close(),
-            // The stream's only owner is the client: replacing it closes the connection.
+            // Replacing the stream closes the connection, because the client is its only owner.
             Disconnect::Close | Disconnect::Reset => {
                 client.stream = BufReader::new(unconnected_stream());
             }
@@ -48,7 +49,7 @@
         .port()
 }
 
-/// Has the kernel send RST in place of FIN once the connection is closed.
+/// Makes the kernel send RST instead of FIN when the connection is closed.
 pub fn reset_on_close(client: &Connection) {
     socket2::SockRef::from(client.stream.get_ref())
         .set_linger(Some(Duration::ZERO))
@@ -65,7 +66,7 @@
     pub const ALL: [Phase; 2] = [Phase::Serving, Phase::ShuttingDown];
 }
 
-/// A way to disconnect, in one phase of the gateway.
+/// A kind of disconnect in one phase of the gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct DisconnectCase {
     pub disconnect: Disconnect,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Begins the shutdown if this is a case of it, and stops the gateway.
+    /// Suspends the gateway in the phase of this case, after starting the shutdown if necessary.
     #[track_caller]
     pub fn suspend(self, gateway: &GatewayProcess) -> Result<SuspendedGateway<'_>, ShutdownOver> {
         match self.phase {
@@ -91,24 +92,25 @@
     }
 }
 
-/// How long after SIGTERM a gateway has to go on at the latest. It has answered every request 3.33 s after SIGTERM: nine
-/// tenths of the time that the protocol leaves it, which no setting makes longer. The rest is for the gateway itself.
+/// Time from SIGTERM by which a suspended gateway must be resumed. The gateway answers all requests within
+/// 3.33 s of SIGTERM, which is nine tenths of the time that the protocol allows and that no setting can
+/// extend. The difference is left for the gateway's own work.
 const LATEST_RESUME: Duration = Duration::from_millis(2800);
 
-/// How long after SIGTERM a gateway accepts new connections.
+/// Time from SIGTERM for which the gateway accepts new connections.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
 
-/// The time of a shutdown passed before its case was set up, as the machine ran something else.
+/// Error: the shutdown deadline passed before the test case was set up, because the machine was too slow.
 #[derive(Debug)]
 pub struct ShutdownOver;
 
-/// The time since a shutdown began.
+/// Measures the time since the start of a shutdown.
 pub struct ShutdownClock {
     began: Instant,
 }
 
 impl ShutdownClock {
-    /// Sends SIGTERM and waits until only requests in flight hold connections open.
+    /// Sends SIGTERM and waits until the gateway keeps connections open only for requests in flight.
     #[track_caller]
     pub fn begin_shutdown(gateway: &GatewayProcess) -> ShutdownClock {
         let began = Instant::now();
@@ -116,7 +118,7 @@
         ShutdownClock { began }
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM without waiting.
     #[track_caller]
     pub fn terminate(gateway: &GatewayProcess) -> ShutdownClock {
         let began = Instant::now();
@@ -124,12 +126,13 @@
         ShutdownClock { began }
     }
 
-    /// Whether the case is set up in time.
+    /// Returns an error if the gateway may have passed its shutdown deadline.
     pub fn check(&self) -> Result<(), ShutdownOver> {
         self.check_within(LATEST_RESUME)
     }
 
-    /// Whether the gateway still accepts new connections. What has arrived by now is served.
+    /// Returns an error if the gateway may have stopped accepting connections. It serves connections that
+    /// arrived before.
     pub fn check_accept_grace(&self) -> Result<(), ShutdownOver> {
         self.check_within(ACCEPT_GRACE)
     }
@@ -143,7 +146,7 @@
     }
 }
 
-/// A gateway that is stopped, so that a case can be set up.
+/// A gateway that is suspended while a test case is set up.
 pub struct SuspendedGateway<'a> {
     gateway: &'a GatewayProcess,
     shutdown: Option<ShutdownClock>,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Begins the shutdown and stops the gateway before the shutdown's deadline.
+    /// Starts the shutdown and suspends the gateway before its shutdown deadline.
     #[track_caller]
     pub fn while_shutting_down(
         gateway: &'a GatewayProcess,
@@ -174,27 +177,28 @@
         })
     }
 
-    /// Lets the gateway go on, with everything there for it that has arrived meanwhile.
+    /// Resumes the gateway, which then finds all input that arrived in the meantime. Returns an error if it
+    /// was suspended for too long.
     pub fn resume(self) -> Result<(), ShutdownOver> {
         self.gateway.resume();
         self.shutdown.map_or(Ok(()), |shutdown| shutdown.check())
     }
 }
 
-/// Sets up a case and checks it. A case whose set-up outlasted the shutdown is no case of it: nothing is checked, and it
-/// is set up anew with another gateway. A check that fails is not repeated.
+/// Sets up a test case and checks it. If the shutdown deadline passes during the setup, the case is set up
+/// again with a new gateway, because its checks would be meaningless. A failed check is not repeated.
 #[track_caller]
 pub fn check_once_set_up(set_up_and_check: impl Fn() -> Result<(), ShutdownOver>) {
     const MAX_SET_UPS: usize = 10;
     let is_checked = (0..MAX_SET_UPS).any(|_| {
         let result = set_up_and_check();
         if result.is_err() {
-            eprintln!("the shutdown was over before its case was set up; setting it up again");
+            eprintln!("the shutdown ended before the test case was set up; setting it up again");
         }
         result.is_ok()
     });
     assert!(
         is_checked,
-        "expected one of {MAX_SET_UPS} set-ups to be complete before the shutdown is over"
+        "expected one of {MAX_SET_UPS} setups to be complete before the shutdown ends"
     );
 }
--- a/tests/process/support/discovery.rs
+++ b/tests/process/support/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in discovery service, and the endpoint lists that it serves.
+//! Stand-in for the discovery service, and builders for the endpoint lists that it serves.
 
 use super::{Connection, StandInEndpoint, TEST_TIMEOUT, any_loopback_port};
 use std::io::{ErrorKind, Read, Write};
@@ -6,11 +6,11 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
-/// A discovery service whose connections the test answers itself, or leaves without an answer.
+/// A discovery service whose connections the test accepts and answers itself.
 pub type ManualDiscovery = StandInEndpoint;
 
-/// A line that is no JSON. The gateway opens the watch again over it, so that everything sent before has been
-/// processed once the next watch is there.
+/// An event that is not valid JSON and makes the gateway reopen the watch. When the next watch is open, the
+/// gateway has processed all earlier events.
 const MALFORMED_EVENT: &str = "{nonsense";
 
 pub fn ready_endpoint(uid: &str, address: SocketAddr) -> String {
@@ -25,24 +25,24 @@
     endpoint_entry(uid, address, "gone", 0)
 }
 
-/// A removed endpoint, without the fields that describe it.
+/// Returns the entry of a removed endpoint with only its id and state.
 pub fn removed_endpoint_without_description(uid: &str) -> String {
     format!(r#"{{"uid":"{uid}","state":"gone"}}"#)
 }
 
-/// One endpoint of a list. `boot_ms` is the wall-clock time of its start.
+/// Returns an entry of an endpoint list. `boot_ms` is the wall-clock start time of the endpoint.
 pub fn endpoint_entry(uid: &str, address: SocketAddr, state: &str, boot_ms: u64) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
     )
 }
 
-/// A list of all endpoints.
+/// Returns a list that contains all endpoints.
 pub fn complete_list(revision: u64, endpoints: &[String]) -> String {
     list(revision, true, endpoints)
 }
 
-/// A list of the endpoints that have changed.
+/// Returns a list that contains only changed endpoints.
 pub fn list_change(revision: u64, endpoints: &[String]) -> String {
     list(revision, false, endpoints)
 }
@@ -54,7 +54,7 @@
     )
 }
 
-/// An HTTP response with this endpoint list.
+/// Returns an HTTP response with an endpoint list as its body.
 pub fn list_response(list: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
@@ -62,7 +62,7 @@
     )
 }
 
-/// A discovery service that answers every poll with one list and hands each watch to the test.
+/// A discovery service that answers every poll with the same list and passes each watch to the test.
 pub struct StandInDiscovery {
     pub address: SocketAddr,
     pub watches: Receiver<Watch>,
@@ -76,7 +76,7 @@
         )
     }
 
-    /// Lists one ready endpoint, with the name `s-1` and the revision 1.
+    /// Starts a service whose list has revision 1 and one ready endpoint named `s-1`.
     pub fn with_endpoint(address: SocketAddr) -> StandInDiscovery {
         StandInDiscovery::with_list(complete_list(1, &[ready_endpoint("s-1", address)]))
     }
@@ -100,7 +100,8 @@
         watch.expect("the gateway opens a watch within the timeout")
     }
 
-    /// Waits until the gateway has processed everything that was sent on this watch.
+    /// Waits until the gateway has processed all events sent on this watch. Makes the gateway close the
+    /// watch.
     #[track_caller]
     pub fn wait_until_processed(&self, watch: &mut Watch) {
         watch.send_malformed();
@@ -108,7 +109,7 @@
     }
 }
 
-/// Answers polls until the gateway opens a watch on this connection or closes it.
+/// Answers polls until the gateway opens a watch on the connection or closes the connection.
 fn serve_connection(mut connection: Connection, list: &str, watches: &Sender<Watch>) {
     loop {
         let request_line = connection.read_line();
@@ -118,7 +119,7 @@
         while !connection.read_line().is_empty() {}
         if request_line.contains("stream=1") {
             connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            // A test that has ended receives no watch.
+            // Sending fails once the test has ended.
             let _ = watches.send(Watch {
                 stream: connection.stream.into_inner(),
             });
@@ -128,7 +129,7 @@
     }
 }
 
-/// An open watch: a chunked response with one event a line.
+/// An open watch, which is a chunked HTTP response with one event per line.
 pub struct Watch {
     stream: TcpStream,
 }
@@ -139,7 +140,7 @@
             .expect("the gateway holds the watch open");
     }
 
-    /// Sends on a watch that the gateway may have closed already.
+    /// Sends an event on a watch that the gateway may have closed.
     pub fn try_send(&mut self, event: &str) -> std::io::Result<()> {
         let chunk = format!("{:x}\r\n{event}\n\r\n", event.len() + 1);
         self.stream.write_all(chunk.as_bytes())
@@ -149,7 +150,7 @@
         self.send(MALFORMED_EVENT);
     }
 
-    /// Expects that the gateway neither closes the watch nor sends on it.
+    /// Expects that the gateway has neither closed the watch nor sent data on it.
     #[track_caller]
     pub fn expect_open(&self) {
         self.stream
--- a/tests/process/support/endpoint.rs
+++ b/tests/process/support/endpoint.rs
@@ -1,4 +1,5 @@
-//! Stand-in endpoint: a listener that hands each connection to the test, which answers the requests itself.
+//! Stand-in for an endpoint: a listener that passes each connection to the test, which answers the requests
+//! itself.
 
 use super::{Connection, TEST_TIMEOUT, any_loopback_port};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -36,8 +37,8 @@
         Connection::new(stream.expect("the gateway connects within the timeout"))
     }
 
-    /// The next connection on which bytes arrive. One that was made while the endpoint list changed may be closed
-    /// unused.
+    /// Returns the next connection with input. The gateway may close a connection unused if it was opened
+    /// while the endpoint list changed.
     pub fn next_connection_with_input(&self) -> Connection {
         loop {
             let mut connection = self.next_connection();
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A connection that comes within this time.
+    /// Returns the next connection, or `None` if the gateway opens none within the timeout.
     pub fn connection_within(&self, timeout: Duration) -> Option<Connection> {
         self.accepted
             .recv_timeout(timeout)
@@ -55,22 +56,23 @@
             .map(Connection::new)
     }
 
-    /// A connection that is there already.
+    /// Returns the next connection that was already accepted, without waiting.
     pub fn accepted_connection(&self) -> Option<Connection> {
         self.accepted.try_recv().ok().map(Connection::new)
     }
 
-    /// All connections that are there already.
+    /// Returns all connections that were already accepted, without waiting.
     pub fn accepted_connections(&self) -> impl Iterator<Item = Connection> + '_ {
         self.accepted.try_iter().map(Connection::new)
     }
 
-    /// Every connection that is made for as long as the endpoint exists.
+    /// Returns an iterator over all connections, which waits for each and does not end.
     pub fn into_connections(self) -> impl Iterator<Item = Connection> {
         self.accepted.into_iter().map(Connection::new)
     }
 
-    /// The next connection, or none if the gateway uses the open one before or nothing happens in time.
+    /// Returns the next new connection. Returns `None` if the gateway sends input on the open connection
+    /// first, or if [`TEST_TIMEOUT`] expires.
     pub fn connection_unless_reused(&self, open: &mut Connection) -> Option<Connection> {
         let started = Instant::now();
         while started.elapsed() < TEST_TIMEOUT {
@@ -84,7 +86,7 @@
         None
     }
 
-    /// The connection on which the next request is forwarded: a new one or the open one.
+    /// Returns the connection on which the gateway forwards the next request: a new one or the open one.
     pub fn connection_of_next_request(&self, mut open: Connection) -> Connection {
         self.connection_unless_reused(&mut open).unwrap_or(open)
     }
@@ -93,8 +95,9 @@
         self.accepted.try_recv().is_err()
     }
 
-    /// Expects that no connection has been made. The message says what arrived on one, as a connection without a
-    /// command, with a command, or of another program point to different causes.
+    /// Expects that no connection was accepted. The message contains the peer address and input of an
+    /// unexpected connection, because a connection without a command, one with a command, and one from
+    /// another program have different causes.
     #[track_caller]
     pub fn expect_no_new_connection(&self, reason: &str) {
         if let Some(mut unexpected) = self.accepted_connection() {
--- a/tests/process/support/forwarding.rs
+++ b/tests/process/support/forwarding.rs
@@ -1,13 +1,13 @@
-//! Checks that the gateway forwards one request and no other.
+//! Checks that the gateway forwards only the expected requests.
 
 use super::{
     Connection, GatewayProcess, LONGEST_DEADLINE_MS, REQUEST_ID, StandInEndpoint,
     UNAFFECTED_TENANT, read_request_of, read_request_with_id, wait_until,
 };
 
-/// Expects that the only request that is forwarded, on one of these connections or on a new one, is that of a client
-/// that stays connected, and none of the disconnected clients. It is of a tenant that has all permits free.
-/// Returns the connections, with the new ones.
+/// Sends a request from a client that stays connected, and expects that the gateway forwards only this
+/// request, and no request of a disconnected client. The request belongs to a tenant with free permits.
+/// Checks the open connections and new ones, and returns both.
 #[track_caller]
 pub fn expect_only_next_request_forwarded(
     endpoint: &StandInEndpoint,
@@ -37,8 +37,8 @@
     open
 }
 
-/// Releases the permit of the request in flight, and expects that the next forwarded request is not the one with
-/// [`REQUEST_ID`], whose client has disconnected.
+/// Completes the request in flight, which releases its permit, and expects that the next forwarded request is
+/// not the one with [`REQUEST_ID`], whose client has disconnected.
 #[track_caller]
 pub fn expect_released_permit_goes_to_next_client(
     endpoint: &StandInEndpoint,
@@ -62,7 +62,7 @@
     next.expect_reply("next");
 }
 
-/// Expects that nothing was forwarded: neither on the open connections, which the gateway closes, nor on a new one.
+/// Expects that the gateway closes the open connections without sending data and opens no new connection.
 #[track_caller]
 pub fn expect_nothing_forwarded(endpoint: &StandInEndpoint, open: &mut [Connection], case: &str) {
     let closed_unused = open.iter_mut().all(Connection::is_closed_by_peer);
--- a/tests/process/support/gateway_process.rs
+++ b/tests/process/support/gateway_process.rs
@@ -1,4 +1,4 @@
-//! The built gateway as a process: its start, log, signals and end.
+//! Controls the gateway binary as a child process: start, log, signals and exit.
 
 use super::{Connection, TEST_TIMEOUT, any_loopback_port, wait_until, write_config_file};
 use std::io::{BufRead, BufReader};
@@ -11,7 +11,7 @@
 
 pub const GATEWAY_PROGRAM: &str = env!("CARGO_BIN_EXE_marlshelf-gateway");
 
-/// Parts of the log lines that tests wait for.
+/// Substrings of the log lines that tests wait for.
 pub const LOG_SERVING: &str = " serves at ";
 pub const LOG_SHUTTING_DOWN: &str = " stops";
 pub const LOG_LISTENER_CLOSED: &str = " lets nobody new in";
@@ -40,13 +40,13 @@
     }
 }
 
-/// A running gateway. It is killed when the value is dropped.
+/// A running gateway. Dropping the value kills the process.
 pub struct GatewayProcess {
     child: Child,
-    /// Where it serves clients; known once it has logged so.
+    /// Client address. Valid after [`GatewayProcess::wait_until_serving`], which reads it from the log.
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
-    /// Lines of the log that no wait has consumed yet.
+    /// Log lines that [`GatewayProcess::wait_for_log`] has not consumed yet.
     unread_log: Receiver<String>,
     config_path: PathBuf,
 }
@@ -67,7 +67,7 @@
         gateway
     }
 
-    /// Starts a gateway that may not serve clients yet.
+    /// Starts a gateway without waiting until it serves clients.
     pub fn spawn(config: &str, shell_prefix: &str) -> GatewayProcess {
         let config_path = write_config_file(config);
         let mut child = Command::new("/bin/sh")
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Waits until the gateway logs that it serves clients, and takes its address from there.
+    /// Waits until the gateway logs that it serves clients, and takes the address from that log line.
     #[track_caller]
     pub fn wait_until_serving(&mut self) {
         let line = self.wait_for_log(LOG_SERVING);
@@ -99,7 +99,7 @@
         self.address = address.expect("the log line ends in an address");
     }
 
-    /// Waits for a line of the log that contains this text.
+    /// Consumes log lines until one contains `text`, and returns that line.
     #[track_caller]
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Whether a line of the log so far contains this text.
+    /// Returns whether the gateway has logged a line that contains `text`.
     pub fn has_logged(&self, text: &str) -> bool {
         self.log().iter().any(|line| line.contains(text))
     }
 
-    /// The log so far.
+    /// Returns all log lines so far, including consumed ones.
     pub fn log(&self) -> Vec<String> {
         self.log
             .lock()
@@ -129,12 +129,12 @@
         Connection::new(TcpStream::connect(self.address).expect("the gateway accepts a client"))
     }
 
-    /// Connects a client, unless the gateway has closed its listener.
+    /// Connects a client. Returns `None` if the gateway has closed its listener.
     pub fn try_connect(&self) -> Option<Connection> {
         TcpStream::connect(self.address).ok().map(Connection::new)
     }
 
-    /// How many file descriptors the process has open.
+    /// Returns the number of file descriptors that the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("the gateway is running")
@@ -152,8 +152,8 @@
         );
     }
 
-    /// Stops the process. All that arrives until [`GatewayProcess::resume`] is there for it at once, in the order of
-    /// its arrival.
+    /// Suspends the process. Input that arrives before [`GatewayProcess::resume`] is available to it all at
+    /// once then, in the order of arrival.
     #[track_caller]
     pub fn suspend(&self) {
         assert!(
@@ -163,7 +163,8 @@
         );
     }
 
-    /// The same for a gateway that may have ended. False if it has.
+    /// Suspends the process like [`GatewayProcess::suspend`]. Returns false if the process has already
+    /// exited.
     #[track_caller]
     pub fn suspend_unless_ended(&self) -> bool {
         const STOPPED: char = 'T';
@@ -177,11 +178,11 @@
         state == Some(STOPPED)
     }
 
-    /// The state of the process, as `/proc` encodes it.
+    /// Returns the process state in the encoding of `/proc/PID/stat`.
     fn state(&self) -> Option<char> {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).expect("the gateway was not waited for");
-        // The state follows the program's name, which is in brackets.
+        // The state follows the program name, which is in parentheses.
         stat.rsplit(')').next()?.trim_start().chars().next()
     }
 
@@ -189,20 +190,21 @@
         self.signal(Signal::Continue);
     }
 
-    /// Replaces the configuration file and has the gateway read it.
+    /// Replaces the configuration file and signals the gateway to reload it.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config_path, config).expect("the configuration file can be written");
         self.signal(Signal::Reload);
     }
 
-    /// Waits until the gateway has answered a PING on a new connection: it has processed all that was sent before.
+    /// Waits until the gateway responds to a PING on a new connection, and has thus processed all earlier
+    /// input.
     #[track_caller]
     pub fn wait_until_input_is_processed(&self) {
         self.connect().expect_pong();
     }
 
-    /// Sends SIGTERM and waits until an idle client's connection is closed. From then on connections stay open only
-    /// for requests in flight.
+    /// Sends SIGTERM and waits until the gateway closes the connection of an idle client. From then on the
+    /// gateway keeps connections open only for requests in flight.
     #[track_caller]
     pub fn begin_shutdown(&self) {
         let mut idle = self.connect();
@@ -225,7 +227,7 @@
         );
     }
 
-    /// Kills the process, which closes all its connections, and waits for its end.
+    /// Kills the process, which closes all its connections, and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal(Signal::Kill);
         self.wait_for_exit();
@@ -237,7 +239,7 @@
         log.lock()
             .expect("no reader of the log panics")
             .push(line.clone());
-        // The process may be dropped while its log is read.
+        // Sending fails once the test has dropped the process.
         let _ = unread.send(line);
     }
 }
--- a/tests/process/support/gossip_peer.rs
+++ b/tests/process/support/gossip_peer.rs
@@ -1,4 +1,4 @@
-//! A gateway of two, with a socket that stands in for the other one.
+//! A gateway in a fleet of two, with a UDP socket in place of its peer.
 
 use super::{
     ANY_PORT, GatewayProcess, NO_SHELL_LIMITS, StandInDiscovery, StandInEndpoint, TEST_TIMEOUT,
@@ -6,10 +6,10 @@
 };
 use std::net::{SocketAddr, UdpSocket};
 
-/// More than a gossip datagram, which has 256 bytes at most, so that a longer one is seen.
+/// Larger than the maximum datagram size of 256 bytes, so that tests detect longer datagrams.
 const DATAGRAM_BUFFER: usize = 512;
 
-/// A quota request of the peer for one token, with the number 1.
+/// Quota request number 1 of the peer, for one token.
 pub const QUOTA_REQUEST: &[u8] = b"a,aa,0,1,1.0,0.0,1.0,500;";
 
 pub struct GatewayWithPeer {
@@ -24,10 +24,10 @@
         GatewayWithPeer::with_latency_objective(8000)
     }
 
-    /// The latency objective rules how long the gateway waits for a quota owner that does not answer.
+    /// The gateway derives its timeout for an unresponsive quota owner from the latency objective.
     pub fn with_latency_objective(objective_ms: u32) -> GatewayWithPeer {
         let endpoint = StandInEndpoint::start();
-        // Dropped at the end of this function: the gateway keeps its first list without a watch.
+        // Dropped when this function returns. The gateway keeps its first endpoint list without a watch.
         let discovery = StandInDiscovery::with_endpoint(endpoint.address);
         let peer = UdpSocket::bind(any_loopback_port()).expect("a free port exists");
         peer.set_read_timeout(Some(TEST_TIMEOUT))
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Sends a datagram from the peer.
+    /// Sends a datagram from the peer to the gateway.
     pub fn send(&self, datagram: impl AsRef<[u8]>) {
         self.peer
             .send_to(datagram.as_ref(), self.gossip_address)
             .expect("the datagram is sent");
     }
 
-    /// The next datagram for the peer.
+    /// Returns the next datagram that the peer receives.
     #[track_caller]
     pub fn receive(&self) -> String {
         let mut bytes = [0; DATAGRAM_BUFFER];
@@ -69,7 +69,7 @@
         String::from_utf8_lossy(&bytes[..length]).into_owned()
     }
 
-    /// Requests a token from the gateway as quota owner; returns its response.
+    /// Requests one token from the gateway as the quota owner, and returns its response.
     #[track_caller]
     pub fn request_quota(&self, number: u32) -> String {
         self.send(format!("a,aa,0,{number:x},1.0,0.0,1.0,500;"));
@@ -84,8 +84,9 @@
         String::from_utf8_lossy(&bytes[..length]).into_owned()
     }
 
-    /// Waits for the quota requests of so many client requests; returns the message that grants each of them. The
-    /// gateway repeats a quota request that is not answered.
+    /// Waits until the peer has received quota requests for `count` client requests, and returns the grants
+    /// for them. The gateway repeats a quota request that it gets no response to, so the grants are
+    /// deduplicated.
     #[track_caller]
     pub fn wait_for_quota_requests(&self, count: usize) -> Vec<String> {
         let mut grants = Vec::new();
@@ -100,7 +101,7 @@
     }
 }
 
-/// The parts of a quota request that its response repeats.
+/// The fields of a quota request that the response to it repeats.
 pub struct QuotaRequest {
     tenant_key: String,
     number: String,
@@ -108,7 +109,7 @@
 }
 
 impl QuotaRequest {
-    /// Parses a message that must be a quota request for a request of its own.
+    /// Parses a quota request message.
     #[track_caller]
     pub fn parse(message: &str) -> QuotaRequest {
         let parts: Vec<&str> = message.split(',').collect();
@@ -120,12 +121,12 @@
         }
     }
 
-    /// The response that grants the requested tokens.
+    /// Returns the response that grants all requested tokens.
     pub fn grant(&self) -> String {
         self.grant_of(&self.tokens)
     }
 
-    /// The response that grants so many tokens.
+    /// Returns the response that grants `tokens`.
     pub fn grant_of(&self, tokens: &str) -> String {
         format!(
             "g,{},1,{},{tokens},1.0,1.0,9.0;",
--- a/tests/process/support/idle_clients.rs
+++ b/tests/process/support/idle_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that occupy connections without a request in flight.
+//! Clients that hold connections open without a request in flight.
 
 use super::{PARTIAL_PING, TEST_TIMEOUT, ping_command};
 use std::io::{ErrorKind, Read, Write};
@@ -8,14 +8,15 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// What an idle client has sent.
+/// Input that an idle client sends before it becomes idle.
 #[derive(Clone, Copy, Debug)]
 pub enum IdleClientKind {
+    /// No input.
     Silent,
     PartialCommand,
-    /// One command, which was answered.
+    /// One complete command, which the gateway answers.
     BetweenCommands,
-    /// Many commands at once, all answered, and then a part of another one.
+    /// 50 pipelined commands, which the gateway answers, and an incomplete one.
     PartialAfterPipeline,
 }
 
@@ -38,14 +39,14 @@
                 [ping_command().repeat(50).as_slice(), PARTIAL_PING].concat()
             }
         };
-        // The gateway may have closed the connection already.
+        // The write fails if the gateway has already closed the connection.
         let _ = stream.write_all(&input);
         stream
     }
 }
 
-/// Idle clients that connect again whenever the gateway closes their connection. The kernel has completed all their
-/// connections before that of any later client.
+/// Idle clients that reconnect whenever the gateway closes their connection. Their initial connections are
+/// established before `connect` returns, and thus before those of any later client.
 pub struct IdleClients {
     stopping: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -84,7 +85,7 @@
                 *stream = kind.connect(gateway);
             }
         }
-        // The connections that are closed within this time are load enough.
+        // The gateway closes enough connections within this interval to keep the load high.
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -92,7 +93,7 @@
 impl Drop for IdleClients {
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Relaxed);
-        // After a failure a client may wait for its connection for long.
+        // In a failing test, the thread may block in a connect for a long time.
         if !thread::panicking() {
             let joined = self.thread.take().map(JoinHandle::join);
             assert!(
@@ -103,8 +104,8 @@
     }
 }
 
-/// Reads all replies that are there, and tells whether the other end has closed the connection. Leaves the socket
-/// non-blocking.
+/// Discards all received input, and returns whether the other end has closed the connection. Leaves the
+/// socket in non-blocking mode.
 pub fn is_closed_now(stream: &mut TcpStream) -> bool {
     stream
         .set_nonblocking(true)
--- a/tests/process/support/mod.rs
+++ b/tests/process/support/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for clients, endpoints, discovery and a second gateway, and the gateway process under test.
+//! The gateway process under test, and stand-ins for its clients, endpoints, discovery service and peer
+//! gateway.
 
 mod config;
 mod connection;
--- a/tests/process/support/sockets.rs
+++ b/tests/process/support/sockets.rs
@@ -1,20 +1,21 @@
-//! Sockets in states that the standard library does not offer, and the kernel's table of TCP connections.
+//! Sockets in states that the standard library cannot create, and the kernel's table of TCP connections.
 
 use super::wait_until;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// States of a connection as `/proc/net/tcp` encodes them.
+/// Connection states in the encoding of `/proc/net/tcp`.
 const STATE_ESTABLISHED: &str = "01";
 const STATE_SYN_SENT: &str = "02";
 
-/// Any free port of a loopback address that no other stand-in has. A gateway goes on calling the address of a listener
-/// that is gone, and the kernel gives a freed port to whoever asks next: with one address for all, a gateway of one test
-/// connects to a listener of another.
+/// Returns port 0 (any free port) of a loopback address that no other stand-in uses. Gateways keep connecting
+/// to the address of a closed listener, and the kernel assigns a freed port to the next socket. If all
+/// stand-ins shared one address, the gateway of one test could connect to a listener of another test.
 pub fn any_loopback_port() -> SocketAddr {
     static NEXT_HOST: AtomicU16 = AtomicU16::new(1);
-    /// Test processes that run at the same time have second octets from this one on, below the limit.
+    /// The process id selects the second octet from a range of `OCTET_COUNT` values that starts here, because
+    /// several test processes may run at the same time.
     const FIRST_OCTET: u32 = 64;
     const OCTET_COUNT: u32 = 128;
     let [.., process_octet] = (FIRST_OCTET + std::process::id() % OCTET_COUNT).to_be_bytes();
@@ -26,12 +27,12 @@
     Socket::new(Domain::IPV4, Type::STREAM, None).expect("a TCP socket can be created")
 }
 
-/// A socket that was never connected.
+/// Returns a socket that is not connected.
 pub fn unconnected_stream() -> TcpStream {
     tcp_socket().into()
 }
 
-/// A port that no other process can take. Connections to it are refused until it listens.
+/// A port that is bound, so that no other process can use it. Connections to it are refused until it listens.
 pub struct ReservedPort {
     pub address: SocketAddr,
     socket: Socket,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Lets the kernel complete connections, without accepting any.
+    /// Starts listening. The kernel completes connections, but nothing accepts them.
     pub fn listen(&self) {
         self.socket.listen(1024).expect("the port can listen");
     }
@@ -60,10 +61,10 @@
     }
 }
 
-/// A listener whose backlog is full: further connections stay in `SYN_SENT` until it accepts.
+/// A listener with a full backlog. Further connections stay in `SYN_SENT` until it accepts one.
 pub struct FullBacklogListener {
     pub listener: TcpListener,
-    /// The connection that fills the backlog. It is the first one that the listener accepts.
+    /// The connection that fills the backlog. The listener accepts it first.
     _backlog_connection: TcpStream,
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl TcpTableEntry {
-    /// Parses a row of `/proc/net/tcp`; the heading is no row.
+    /// Parses a row of `/proc/net/tcp`. Returns `None` for the header.
     fn parse(row: &str) -> Option<TcpTableEntry> {
         let mut columns = row.split_whitespace().skip(1);
         Some(TcpTableEntry {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The port of an address that is written as `HEX_ADDRESS:HEX_PORT`.
+/// Parses the port of an address in the form `HEX_ADDRESS:HEX_PORT`.
 fn parse_port(address: &str) -> Option<u16> {
     u16::from_str_radix(address.rsplit(':').next()?, 16).ok()
 }
@@ -117,7 +118,7 @@
     table.lines().filter_map(TcpTableEntry::parse).collect()
 }
 
-/// Waits until so many connections to this address are in `SYN_SENT`.
+/// Waits until at least `count` connections to the port of `address` are in `SYN_SENT`.
 pub fn wait_until_connecting(address: SocketAddr, count: usize) {
     let is_connecting = |entry: &&TcpTableEntry| {
         entry.remote_port == address.port() && entry.state == STATE_SYN_SENT
@@ -127,8 +128,8 @@
     });
 }
 
-/// Waits until no connection from these client ports to the gateway's port is established any more at the gateway's
-/// end: the kernel has delivered each client's FIN or RST.
+/// Waits until none of the clients' connections is established on the gateway's side any more, which means
+/// that the kernel has delivered each client's FIN or RST.
 pub fn wait_until_disconnected(gateway: SocketAddr, client_ports: &[u16]) {
     let is_established = |entry: &TcpTableEntry| {
         entry.local_port == gateway.port()
--- a/tests/process/support/topology.rs
+++ b/tests/process/support/topology.rs
@@ -1,4 +1,4 @@
-//! Gateways with the stand-ins around them that most tests need.
+//! Gateways together with the stand-ins that most tests need.
 
 use super::{
     CONNECTION_REUSE_PAUSE, Connection, DEFAULT_PLAN, FullBacklogListener, GatewayConfig,
@@ -7,9 +7,9 @@
 };
 use std::thread;
 
-/// A gateway with one endpoint, which discovery lists.
+/// A gateway with one endpoint, which it learns from discovery.
 ///
-/// The fields are dropped in their order: the gateway before its stand-ins.
+/// The field order matters: fields are dropped in order, and the gateway must exit before its stand-ins.
 pub struct SingleEndpoint {
     pub gateway: GatewayProcess,
     pub discovery: StandInDiscovery,
@@ -21,7 +21,7 @@
         SingleEndpoint::configured(|_| {})
     }
 
-    /// The same with a change to the gateway's configuration.
+    /// Starts the gateway with a changed configuration.
     pub fn configured(change: impl FnOnce(&mut GatewayConfig)) -> SingleEndpoint {
         let endpoint = StandInEndpoint::start();
         let discovery = StandInDiscovery::with_endpoint(endpoint.address);
@@ -34,12 +34,13 @@
         }
     }
 
-    /// The same whose requests stay in the gateway for the longest time.
+    /// Starts the gateway with the longest wait times that it supports.
     pub fn with_longest_waits() -> SingleEndpoint {
         SingleEndpoint::configured(|config| *config = config.clone().with_longest_waits())
     }
 
-    /// Each tenant may have so many requests in flight. The next one waits for a permit, for the longest time.
+    /// Starts the gateway with a concurrency limit per tenant. Requests beyond the limit wait for a permit
+    /// for the longest supported time.
     pub fn with_concurrency_limit(permits: usize) -> SingleEndpoint {
         SingleEndpoint::configured(|config| {
             *config = config.clone().with_longest_waits();
@@ -47,7 +48,7 @@
         })
     }
 
-    /// Connects a client whose request is in flight.
+    /// Connects a client and sends a request, which the endpoint reads and does not answer.
     #[track_caller]
     pub fn start_request(&self, request: impl AsRef<[u8]>) -> InFlightRequest {
         let mut client = self.gateway.connect();
@@ -58,15 +59,15 @@
     }
 }
 
-/// A forwarded request that the endpoint has read and not answered yet.
+/// A forwarded request that the endpoint has read and not answered.
 pub struct InFlightRequest {
     pub client: Connection,
-    /// The endpoint's end of the connection on which the request was forwarded.
+    /// Endpoint side of the connection on which the request was forwarded.
     pub forwarded: Connection,
 }
 
 impl InFlightRequest {
-    /// Answers the request and expects that the client receives the answer.
+    /// Answers the request and expects the client to receive the value.
     #[track_caller]
     pub fn complete(&mut self, value: &str) {
         self.forwarded.send_value(value);
@@ -74,8 +75,8 @@
     }
 }
 
-/// Sends a request that is forwarded on a new connection, and answers it. Returns the endpoint's end of that
-/// connection.
+/// Sends a request, and answers it on the new connection on which the gateway forwards it. Returns the
+/// endpoint side of that connection.
 #[track_caller]
 pub fn complete_on_new_connection(
     client: &mut Connection,
@@ -90,7 +91,7 @@
     forwarded
 }
 
-/// A pooled connection of the gateway that is ready for reuse: the next request is forwarded on it at once.
+/// Returns the endpoint side of a pooled connection that the gateway will reuse for the next request.
 #[track_caller]
 pub fn pooled_connection(endpoint: &StandInEndpoint, gateway: &GatewayProcess) -> Connection {
     let mut client = gateway.connect();
@@ -100,7 +101,8 @@
     pooled
 }
 
-/// A gateway whose only endpoint does not complete connections, and which waits for them for the longest time.
+/// A gateway whose only endpoint does not complete connections. The connect timeout is the longest supported
+/// one.
 pub struct ConnectingEndpoint {
     pub gateway: GatewayProcess,
     pub discovery: StandInDiscovery,
@@ -121,7 +123,7 @@
     }
 }
 
-/// A gateway with two endpoints and a pooled connection to each, which is ready for reuse.
+/// A gateway with two endpoints and a pooled connection to each that is ready for reuse.
 pub struct TwoPooledEndpoints {
     pub gateway: GatewayProcess,
     pub pooled: Vec<Connection>,
@@ -144,7 +146,8 @@
         while pooled.len() < 2 {
             let mut client = gateway.connect();
             client.send(read_request(LONGEST_DEADLINE_MS));
-            // While one endpoint has a request in flight, the next one goes to the other.
+            // While one endpoint has a request in flight, the gateway forwards the next request to the other
+            // one.
             wait_until("the request is forwarded", || {
                 pooled.extend(
                     endpoints
@@ -169,11 +172,12 @@
     }
 }
 
-/// Eight clients, each with its first request in flight. Where two events are there for the gateway at once, their
-/// order may be random: one of eight clients meets the order that matters.
+/// Eight clients, each with its first request in flight. When two events become available to the gateway at
+/// the same time, it may process them in random order. Eight clients make it likely that one meets the order
+/// under test.
 pub struct RequestGroup {
     pub clients: Vec<Connection>,
-    /// The endpoint's ends of the connections of their first requests.
+    /// Endpoint sides of the connections on which the first requests were forwarded.
     pub forwarded: Vec<Connection>,
 }
 
