--- a/tests/architecture/imports.rs
+++ b/tests/architecture/imports.rs
@@ -1,9 +1,9 @@
-//! The modules of this crate that a source file refers to, by the paths in its text.
+//! Finds the modules of the library that a source file refers to, from the paths in its text.
 
 use crate::sources::Source;
 
-/// The modules that a file of the library refers to, as paths without `crate`. A path that starts at the root of the
-/// crate with an item, such as `crate::Event`, gives an empty path.
+/// Returns the modules that a library file refers to, as paths without `crate`. For an item in the crate
+/// root, such as `crate::Event`, the path is empty. Programs have no module, so the list for them is empty.
 pub fn referenced_modules(source: &Source) -> Vec<Vec<String>> {
     let Some(module) = source.module() else {
         return Vec::new();
@@ -22,7 +22,7 @@
     code.collect::<Vec<_>>().join(" ")
 }
 
-/// The modules that a text declares.
+/// Returns the names in the `mod` declarations of a file.
 fn child_modules(code: &str) -> Vec<&str> {
     let declarations = code.split("mod ").skip(1);
     declarations
@@ -32,7 +32,8 @@
         .collect()
 }
 
-/// All paths of a text that begin with `crate`, `super` or a child module. Braces of `use` declarations are expanded.
+/// Returns all paths that begin with `crate`, `super` or a child module. Expands the braces of `use`
+/// declarations.
 fn paths(code: &str) -> Vec<String> {
     let mut paths = Vec::new();
     let starts = ["crate", "super"].into_iter().chain(child_modules(code));
@@ -50,7 +51,8 @@
     paths
 }
 
-/// Where the path that begins at `start` ends: before the first character that cannot be a part of it.
+/// Returns the end of the path that begins at `start`, which is the position of the first character that
+/// cannot be part of a path.
 fn path_end(code: &str, start: usize) -> usize {
     let mut depth = 0;
     for (offset, character) in code[start..].char_indices() {
@@ -64,7 +66,7 @@
     code.len()
 }
 
-/// Adds the paths of a path that may end with a list in braces.
+/// Adds the path to `paths`, or all paths that it stands for if it ends with a list in braces.
 fn expand(path: &str, prefix: &str, paths: &mut Vec<String>) {
     let Some((head, list)) = path.split_once('{') else {
         let name = path.split(" as ").next().unwrap_or(path).trim();
@@ -87,7 +89,7 @@
     }
 }
 
-/// The module of a path that a module of the library refers to. Items, which are not modules, are left out.
+/// Resolves a path relative to `module`, and drops the item at its end. Segments in upper case are items.
 fn resolve(path: &str, module: &[String]) -> Option<Vec<String>> {
     let mut segments = path.split("::").peekable();
     let mut resolved = module.to_vec();
--- a/tests/architecture/layers.rs
+++ b/tests/architecture/layers.rs
@@ -1,16 +1,18 @@
-//! Which module of the library may use which.
+//! Checks the dependencies between the modules of the library.
 
 use crate::imports::referenced_modules;
 use crate::sources::sources;
 use std::collections::BTreeSet;
 
-/// The layers from the lowest to the highest, each with the layers that it may use. A module belongs to the layer with
-/// the longest matching path. `crate` stands for what the root of the crate exports.
+/// The layers from the lowest to the highest, one per line, each followed by the layers that it may use. A
+/// module belongs to the layer with the longest matching path. `crate` stands for the items that the crate
+/// root exports.
 const LAYERS: &str = include_str!("layers.txt");
 
 struct Layer {
     name: &'static str,
-    uses: BTreeSet<&'static str>,
+    /// Names of the layers that this layer may use.
+    allowed: BTreeSet<&'static str>,
 }
 
 fn layers() -> Vec<Layer> {
@@ -20,13 +22,12 @@
             let mut words = line.split_whitespace();
             Layer {
                 name: words.next().expect("a line begins with its layer"),
-                uses: words.collect(),
+                allowed: words.collect(),
             }
         })
         .collect()
 }
 
-/// The layer of a module.
 fn layer_of<'a>(module: &[String], layers: &'a [Layer]) -> &'a Layer {
     let path = if module.is_empty() {
         "crate".to_string()
@@ -45,26 +46,26 @@
 }
 
 #[test]
-fn layers_use_only_lower_layers() {
+fn layers_are_only_allowed_to_use_lower_layers() {
     let mut lower = BTreeSet::new();
     for layer in layers() {
-        for used in &layer.uses {
+        for used in &layer.allowed {
             assert!(
                 lower.contains(used),
-                "{} uses {used}, which is not below it",
+                "{} may use {used}, which is not a lower layer",
                 layer.name
             );
         }
-        assert!(lower.insert(layer.name), "{} stands twice", layer.name);
+        assert!(lower.insert(layer.name), "{} is listed twice", layer.name);
     }
 }
 
 #[test]
-fn modules_use_only_what_their_layer_may_use() {
+fn modules_use_only_the_layers_that_their_layer_is_allowed_to_use() {
     let layers = layers();
     let mut unused: BTreeSet<(&str, &str)> = BTreeSet::new();
     for layer in &layers {
-        unused.extend(layer.uses.iter().map(|used| (layer.name, *used)));
+        unused.extend(layer.allowed.iter().map(|used| (layer.name, *used)));
     }
     for source in sources() {
         let Some(module) = source.module().filter(|module| !module.is_empty()) else {
@@ -74,8 +75,8 @@
         for referenced in referenced_modules(&source) {
             let used = layer_of(&referenced, &layers);
             assert!(
-                used.name == layer.name || layer.uses.contains(used.name),
-                "{} is in the layer {} and uses {}, which it may not",
+                used.name == layer.name || layer.allowed.contains(used.name),
+                "{} is in the layer {}, which is not allowed to use {}",
                 source.path,
                 layer.name,
                 referenced.join("::")
@@ -85,6 +86,6 @@
     }
     assert!(
         unused.is_empty(),
-        "nothing needs these permissions: {unused:?}"
+        "tests/architecture/layers.txt allows dependencies that no module has: {unused:?}"
     );
 }
--- a/tests/architecture/main.rs
+++ b/tests/architecture/main.rs
@@ -1,5 +1,6 @@
-//! The architecture of the sources, checked on their text: which files hold decisions, which module may use which,
-//! what the decision engine must not touch, and where the words of the wire may stand.
+//! Architecture checks on the text of the sources: the list of decision files, the dependencies between
+//! modules, the independence of the decision engine, and the files in which names of the wire formats may
+//! occur.
 
 mod imports;
 mod layers;
@@ -8,8 +9,8 @@
 use sources::{read, root, sources};
 use std::collections::BTreeSet;
 
-/// The files that may hold words of the wire: each translates one of its formats.
-const WIRE_EDGES: [&str; 7] = [
+/// The files and folders that translate a wire format. Only they may contain names of the wire formats.
+const WIRE_FORMAT_FILES: [&str; 7] = [
     "src/settings/document/",
     "src/bin/marlshelf-simulator-adapter/",
     "src/gateway/clients/schema.rs",
@@ -19,8 +20,8 @@
     "src/gateway/configuration.rs",
 ];
 
-/// The modules of the decision engine and all that they use.
-const ENGINE: [&str; 8] = [
+/// The files and folders of the decision engine and its dependencies in the library.
+const ENGINE_FILES: [&str; 8] = [
     "src/decisions/",
     "src/statistics/",
     "src/engine.rs",
@@ -31,7 +32,7 @@
     "src/units.rs",
 ];
 
-/// What would make the engine depend on more than its events, its settings and its seed.
+/// Text that indicates a dependency of the engine on something other than its events, settings and seed.
 const FORBIDDEN_IN_ENGINE: [&str; 24] = [
     "std::time",
     "Instant",
@@ -59,8 +60,8 @@
     "HashMap",
 ];
 
-/// Words of the simulator's wire and of its serialization.
-const SERIALIZATION_WORDS: [&str; 6] = [
+/// Names of the simulator protocol, and of the serialization libraries.
+const SERIALIZATION_NAMES: [&str; 6] = [
     "Gatekeeper",
     "Deliver",
     "RESOURCE_EXHAUSTED",
@@ -72,7 +73,7 @@
 const MAX_FILE_LINES: usize = 300;
 const MAX_LINE_LENGTH: usize = 110;
 
-/// The files that the `policy` key of the deploy file lists.
+/// Returns the files that the `policy` key of the deploy file lists.
 fn policy_files() -> Vec<String> {
     let deploy_file = read(&root().join("deploy/balancer.toml"));
     let (_, list) = deploy_file
@@ -85,7 +86,8 @@
         .collect()
 }
 
-/// String literals of a text that are single words with an upper-case letter, as the keys and values of the wire are.
+/// Returns the string literals that are single words with an upper-case letter, like keys and values of the
+/// wire formats.
 fn capitalized_literals(text: &str) -> BTreeSet<String> {
     text.split('"')
         .skip(1)
@@ -96,8 +98,9 @@
         .collect()
 }
 
-/// The names that the serialized formats give to fields and values: the arguments of serde's `rename`.
-fn renamed_words(text: &str) -> BTreeSet<String> {
+/// Returns the field and value names of wire formats that contain an upper-case letter. They are the
+/// arguments of serde's `rename`.
+fn wire_names(text: &str) -> BTreeSet<String> {
     let renames = text.split("rename = ").skip(1);
     renames
         .filter_map(|rest| rest.split('"').nth(1))
@@ -107,13 +110,13 @@
 }
 
 #[test]
-fn policy_names_exactly_the_files_of_the_decisions() {
+fn policy_lists_exactly_the_decision_files() {
     let listed = policy_files();
     let distinct: BTreeSet<String> = listed.iter().cloned().collect();
     assert_eq!(
         distinct.len(),
         listed.len(),
-        "`policy` names a file twice: {listed:?}"
+        "`policy` lists a file twice: {listed:?}"
     );
     let present: BTreeSet<String> = sources()
         .into_iter()
@@ -122,7 +125,7 @@
         .collect();
     assert_eq!(
         distinct, present,
-        "`policy` of deploy/balancer.toml lists the files of src/decisions"
+        "expected `policy` of deploy/balancer.toml to list the files of src/decisions"
     );
     let first = read(&root().join(&listed[0]));
     assert!(
@@ -130,13 +133,13 @@
             .lines()
             .take(8)
             .any(|line| line.contains("src/events.rs")),
-        "the head of {} names the file of the interface",
+        "expected the first lines of {} to name the file of the interface, src/events.rs",
         listed[0]
     );
 }
 
 #[test]
-fn decision_files_fit_a_reader() {
+fn decision_files_are_within_the_limits_on_lines_and_line_length() {
     for source in sources() {
         if !source.is_in(&["src/decisions/"]) {
             continue;
@@ -144,14 +147,14 @@
         let lines = source.text.lines().count();
         assert!(
             lines <= MAX_FILE_LINES,
-            "{}: {lines} lines, more than {MAX_FILE_LINES}",
+            "{}: {lines} lines exceed the maximum of {MAX_FILE_LINES}",
             source.path
         );
         for (index, line) in source.text.lines().enumerate() {
             let length = line.chars().count();
             assert!(
                 length <= MAX_LINE_LENGTH,
-                "{}:{}: {length} characters, more than {MAX_LINE_LENGTH}",
+                "{}:{}: {length} characters exceed the maximum of {MAX_LINE_LENGTH}",
                 source.path,
                 index + 1
             );
@@ -160,15 +163,15 @@
 }
 
 #[test]
-fn engine_depends_on_nothing_but_events_settings_and_seed() {
+fn engine_depends_only_on_events_settings_and_seed() {
     for source in sources() {
-        if !source.is_in(&ENGINE) {
+        if !source.is_in(&ENGINE_FILES) {
             continue;
         }
-        for word in FORBIDDEN_IN_ENGINE.iter().chain(&SERIALIZATION_WORDS) {
+        for word in FORBIDDEN_IN_ENGINE.iter().chain(&SERIALIZATION_NAMES) {
             assert!(
                 !source.text.contains(word),
-                "{} holds `{word}`, which the decision engine must not use",
+                "{} contains `{word}`, which the decision engine must not use",
                 source.path
             );
         }
@@ -176,41 +179,41 @@
 }
 
 #[test]
-fn wire_words_stay_at_the_edges() {
+fn names_of_wire_formats_occur_only_in_wire_format_files() {
     let sources = sources();
-    let wire_words: BTreeSet<String> = sources
+    let wire_names: BTreeSet<String> = sources
         .iter()
-        .filter(|source| source.is_in(&WIRE_EDGES))
-        .flat_map(|source| renamed_words(&source.text))
+        .filter(|source| source.is_in(&WIRE_FORMAT_FILES))
+        .flat_map(|source| wire_names(&source.text))
         .collect();
     assert!(
-        wire_words.len() > 50,
-        "only {} renamed words: are the edges where they were?",
-        wire_words.len()
+        wire_names.len() > 50,
+        "expected more than 50 names in the wire format files, got {}: check WIRE_FORMAT_FILES",
+        wire_names.len()
     );
     for source in &sources {
-        if source.is_in(&WIRE_EDGES) {
+        if source.is_in(&WIRE_FORMAT_FILES) {
             continue;
         }
         let literals = capitalized_literals(&source.text);
-        let leaked: Vec<&String> = literals.intersection(&wire_words).collect();
+        let leaked: Vec<&String> = literals.intersection(&wire_names).collect();
         assert!(
             leaked.is_empty(),
-            "{} holds words of the wire: {leaked:?}",
+            "{} contains names of wire formats: {leaked:?}",
             source.path
         );
     }
 }
 
-/// Times and durations are bare numbers only where the wire has them; elsewhere they are typed.
+/// Times and durations are plain numbers only in wire formats. All other code uses typed values.
 #[test]
-fn milliseconds_are_bare_numbers_only_at_the_edges() {
+fn milliseconds_are_plain_numbers_only_in_wire_format_files() {
     for source in sources() {
-        if source.is_in(&WIRE_EDGES) {
+        if source.is_in(&WIRE_FORMAT_FILES) {
             continue;
         }
         for (index, line) in source.text.lines().enumerate() {
-            let is_bare = [
+            let is_plain_number = [
                 "_ms: f64",
                 "_ms: Option<f64>",
                 "_ms: u64",
@@ -218,8 +221,14 @@
                 "_MS: u64",
             ]
             .iter()
-            .any(|bare| line.contains(bare));
-            assert!(!is_bare, "{}:{}: {}", source.path, index + 1, line.trim());
+            .any(|declaration| line.contains(declaration));
+            assert!(
+                !is_plain_number,
+                "{}:{}: expected a typed duration or time, got {}",
+                source.path,
+                index + 1,
+                line.trim()
+            );
         }
     }
 }
--- a/tests/architecture/sources.rs
+++ b/tests/architecture/sources.rs
@@ -1,20 +1,21 @@
-//! The source files that the checks read.
+//! Reads the source files for the checks.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A source file: its path from the root of the repository, and its text.
 pub struct Source {
+    /// Path relative to the root of the repository.
     pub path: String,
     pub text: String,
 }
 
 impl Source {
-    pub fn is_in(&self, places: &[&str]) -> bool {
-        places.iter().any(|place| self.path.starts_with(place))
+    /// Returns whether the file is one of `paths`, or in a folder of `paths`.
+    pub fn is_in(&self, paths: &[&str]) -> bool {
+        paths.iter().any(|path| self.path.starts_with(path))
     }
 
-    /// The path of the module in the library, without `crate`; `None` for a program.
+    /// Returns the module path in the library without `crate`, or `None` for a file of a program.
     pub fn module(&self) -> Option<Vec<String>> {
         let path = self.path.strip_prefix("src/")?.strip_suffix(".rs")?;
         let mut segments: Vec<String> = path.split('/').map(str::to_string).collect();
@@ -36,7 +37,7 @@
     fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// All Rust files below `src`, sorted by path.
+/// Returns all Rust files below `src`, sorted by path.
 pub fn sources() -> Vec<Source> {
     let mut folders = vec![root().join("src")];
     let mut sources = Vec::new();
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,24 +1,25 @@
-//! The pages, checked against the tree: each path and each name of the code that a page puts in backticks exists, and the
-//! table of log events is complete.
+//! Checks the documentation pages against the repository. Paths and identifiers in backticks and the targets
+//! of links must exist, and the table of log events must be complete.
 
 use std::collections::{BTreeSet, HashSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Words that pages put in backticks and no source file contains: words of the users' pages that the gateway or the
-/// adapter does not read, and names that a page gives as examples. Each stands here with its reason.
-const FOREIGN_WORDS: [&str; 0] = [];
-/// Paths that pages name and the tree need not have.
-const FOREIGN_PATHS: [&str; 1] = [
-    // Exists while a test is known to fail.
+/// Names that pages may contain in backticks although no source file contains them, such as examples and
+/// names from the users' specification that the gateway and the adapter do not read. Add a comment with the
+/// reason to each.
+const ALLOWED_UNKNOWN_NAMES: [&str; 0] = [];
+/// Paths that pages may contain although the repository need not have them.
+const ALLOWED_MISSING_PATHS: [&str; 1] = [
+    // This file exists only while a test is known to fail.
     "KNOWN-RED.txt",
 ];
-/// Where the build puts the programs of `src/bin`.
+/// Build output folder of the programs in `src/bin`.
 const PROGRAM_FOLDER: &str = "target/release/";
 const FILE_EXTENSIONS: [&str; 5] = [".rs", ".md", ".toml", ".json", ".txt"];
-/// Folders that hold no sources.
+/// Folders without sources or pages.
 const SKIPPED_FOLDERS: [&str; 4] = ["target", ".git", "journal", "logs"];
-/// This file names what pages may name without its being in the tree.
+/// Excluded from the search for names, because it contains the names of [`ALLOWED_UNKNOWN_NAMES`].
 const THIS_FILE: &str = "tests/documentation.rs";
 
 fn root() -> PathBuf {
@@ -29,8 +30,8 @@
     fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// The files and folders of the repository, with paths from its root.
-fn tree() -> Vec<String> {
+/// Returns all files and folders of the repository, as paths relative to its root.
+fn repository_paths() -> Vec<String> {
     let mut paths = Vec::new();
     let mut folders = vec![root()];
     while let Some(folder) = folders.pop() {
@@ -47,9 +48,9 @@
     paths
 }
 
-/// The pages that the checks are about.
+/// Returns the Markdown files that the checks cover.
 fn pages() -> Vec<String> {
-    let mut pages: Vec<String> = tree()
+    let mut pages: Vec<String> = repository_paths()
         .into_iter()
         .filter(|path| path.starts_with("docs/") && has_extension(path, "md"))
         .collect();
@@ -64,20 +65,20 @@
         .is_some_and(|found| found == extension)
 }
 
-/// A piece of a page in backticks.
+/// Text in backticks on a page.
 struct CodeSpan {
-    /// The page and the line.
-    place: String,
+    /// Page and line number.
+    location: String,
     text: String,
 }
 
-/// The code spans of a page. Fenced blocks hold commands and output, and are no code spans.
+/// Returns the code spans of a page. Skips fenced code blocks, which contain commands and output.
 fn code_spans(page: &str) -> Vec<CodeSpan> {
     let text = read(page);
     let mut is_fenced = false;
     let mut spans = Vec::new();
     for (index, line) in text.lines().enumerate() {
-        let place = format!("{page}:{}", index + 1);
+        let location = format!("{page}:{}", index + 1);
         if line.starts_with("```") {
             is_fenced = !is_fenced;
             continue;
@@ -88,10 +89,10 @@
         let pieces: Vec<&str> = line.split('`').collect();
         assert!(
             pieces.len() % 2 == 1,
-            "{place}: expected each code span to end in its line"
+            "{location}: expected each code span to end on the line where it begins"
         );
         spans.extend(pieces.iter().skip(1).step_by(2).map(|piece| CodeSpan {
-            place: place.clone(),
+            location: location.clone(),
             text: (*piece).to_string(),
         }));
     }
@@ -102,7 +103,7 @@
     character.is_ascii_alphanumeric() || character == '_'
 }
 
-/// Whether a code span is a path of the repository, from its root or from some folder in it.
+/// Returns whether a code span looks like a path in the repository, relative to its root or to any folder.
 fn looks_like_path(text: &str) -> bool {
     let has_path_characters = text
         .chars()
@@ -113,13 +114,14 @@
     has_path_characters && !text.starts_with('/') && (text.contains('/') || is_file)
 }
 
-/// Whether the tree has this path, counted from its root or from some folder in it. A star stands for any characters.
-fn tree_has(tree: &[String], path: &str) -> bool {
+/// Returns whether the repository contains a path, relative to its root or to any folder. `*` matches any
+/// characters.
+fn contains_path(repository_paths: &[String], path: &str) -> bool {
     let path = path.trim_end_matches('/');
     let program = path.strip_prefix(PROGRAM_FOLDER);
     let path = program.map_or(path.to_string(), |name| format!("src/bin/{name}"));
     let (start, end) = path.split_once('*').unwrap_or((&path, ""));
-    tree.iter().any(|candidate| {
+    repository_paths.iter().any(|candidate| {
         let suffixes = candidate
             .match_indices('/')
             .map(|(position, _)| &candidate[position + 1..])
@@ -134,8 +136,9 @@
     })
 }
 
-/// The words of a code span that is a name of the code or a key of the settings, such as `EndpointPool::is_usable`,
-/// `MAX_PIPELINED` or `Rules.DrainGrace`. A word in small letters alone is not told from plain text.
+/// Splits a code span into words if it is an identifier or a key of the settings, such as
+/// `EndpointPool::is_usable`, `MAX_PIPELINED` or `Rules.DrainGrace`. Returns `None` for other text, and for a
+/// single lower-case word, which cannot be distinguished from plain text.
 fn name_words(text: &str) -> Option<Vec<&str>> {
     let has_name_characters = text
         .chars()
@@ -150,9 +153,10 @@
     Some(words.filter(|word| !word.is_empty()).collect())
 }
 
-/// The words of each source file.
-fn words_by_file(tree: &[String]) -> Vec<HashSet<String>> {
-    tree.iter()
+/// Returns the set of words of each source file.
+fn words_by_file(repository_paths: &[String]) -> Vec<HashSet<String>> {
+    repository_paths
+        .iter()
         .filter(|path| has_extension(path, "rs") || has_extension(path, "toml"))
         .filter(|path| path.as_str() != THIS_FILE)
         .map(|path| {
@@ -166,26 +170,26 @@
 }
 
 #[test]
-fn paths_that_pages_name_exist() {
-    let tree = tree();
+fn paths_in_backticks_exist_in_the_repository() {
+    let repository_paths = repository_paths();
     let missing: Vec<String> = pages()
         .iter()
         .flat_map(|page| code_spans(page))
         .filter(|span| looks_like_path(&span.text))
-        .filter(|span| !FOREIGN_PATHS.contains(&span.text.as_str()))
-        .filter(|span| !tree_has(&tree, &span.text))
-        .map(|span| format!("{}: {}", span.place, span.text))
+        .filter(|span| !ALLOWED_MISSING_PATHS.contains(&span.text.as_str()))
+        .filter(|span| !contains_path(&repository_paths, &span.text))
+        .map(|span| format!("{}: {}", span.location, span.text))
         .collect();
     assert!(
         missing.is_empty(),
-        "pages name paths that the tree does not have:\n{}",
+        "pages contain paths that do not exist in the repository:\n{}",
         missing.join("\n")
     );
 }
 
 #[test]
-fn names_that_pages_put_in_backticks_exist_in_the_sources() {
-    let files = words_by_file(&tree());
+fn names_in_backticks_exist_in_the_sources() {
+    let files = words_by_file(&repository_paths());
     let is_known = |words: &[&str]| {
         files
             .iter()
@@ -195,22 +199,22 @@
         .iter()
         .flat_map(|page| code_spans(page))
         .filter(|span| !looks_like_path(&span.text))
-        .filter(|span| !FOREIGN_WORDS.contains(&span.text.as_str()))
+        .filter(|span| !ALLOWED_UNKNOWN_NAMES.contains(&span.text.as_str()))
         .filter(|span| name_words(&span.text).is_some_and(|words| !is_known(&words)))
-        .map(|span| format!("{}: {}", span.place, span.text))
+        .map(|span| format!("{}: {}", span.location, span.text))
         .collect();
     assert!(
         missing.is_empty(),
-        "pages name what no source file contains:\n{}",
+        "pages contain names that no source file contains:\n{}",
         missing.join("\n")
     );
 }
 
 #[test]
-fn links_between_pages_lead_to_files() {
+fn link_targets_exist() {
     for page in pages() {
         let folder = root().join(&page);
-        let folder = folder.parent().expect("a page stands in a folder");
+        let folder = folder.parent().expect("a page is in a folder");
         for target in read(&page)
             .split("](")
             .skip(1)
@@ -219,18 +223,18 @@
             let file = target.split('#').next().unwrap_or(target);
             assert!(
                 folder.join(file).exists(),
-                "{page}: expected the link to lead to a file: {target}"
+                "{page}: expected the target of the link to exist: {target}"
             );
         }
     }
 }
 
-/// The names that `Event::name` gives the events of the log.
+/// Returns the event names in the source of the log module.
 fn logged_events() -> BTreeSet<String> {
     let source = read("src/gateway/log.rs");
     let (_, body) = source
         .split_once("fn name(&self)")
-        .expect("the events of the log have names");
+        .expect("the log module has a function for event names");
     let (body, _) = body.split_once("\n    }\n").expect("the function ends");
     body.lines()
         .filter_map(|line| line.split_once("=> \""))
@@ -239,7 +243,7 @@
         .collect()
 }
 
-/// The names in the first column of the table of log events.
+/// Returns the event names in the first column of the table of log events.
 fn documented_events() -> BTreeSet<String> {
     let page = read("docs/OPERATIONS.md");
     let (_, section) = page
@@ -255,12 +259,12 @@
 }
 
 #[test]
-fn every_log_event_is_documented_and_no_other() {
+fn documented_log_events_match_the_log_module() {
     let logged = logged_events();
     assert!(!logged.is_empty(), "expected to find the names of events");
     assert_eq!(
         documented_events(),
         logged,
-        "expected docs/OPERATIONS.md to list the events of the log, no more and no fewer"
+        "expected docs/OPERATIONS.md to list exactly the events of the log module"
     );
 }
