--- a/simulation/src/clients/scheduled.rs
+++ b/simulation/src/clients/scheduled.rs
@@ -9,7 +9,7 @@
 pub struct ScheduledRequest {
     /// Time at which the gateway receives the request.
     pub at: Timestamp,
-    /// The request, which names its gateway.
+    /// The request to send, including its gateway.
     pub request: ClientRequest,
 }
 
--- a/simulation/src/clients/tenants.rs
+++ b/simulation/src/clients/tenants.rs
@@ -33,7 +33,7 @@
 const DISCONNECT_DELAY: Milliseconds = Milliseconds(5.0);
 /// Minimum cost of a request, in tokens.
 const MIN_COST: f64 = 0.5;
-/// Upper bound of request costs if the settings specify a lower one.
+/// Lower limit of the maximum request cost, for settings that specify a smaller maximum or none.
 const MIN_MAX_COST: Tokens = Tokens(1.0);
 
 /// A period with a higher request rate.
@@ -65,8 +65,7 @@
     pub surge: Option<Surge>,
     /// Period in which most tenants are idle.
     pub idle: Option<IdlePeriod>,
-    /// Shard sizes, assigned round-robin: each size to one tenant of every plan in turn. 0 means all
-    /// gateways.
+    /// Shard sizes, assigned in turn to groups of tenants with one tenant per plan. 0 means all gateways.
     pub shard_sizes: Vec<u32>,
     /// Fraction of requests sent to the tenant's preferred gateway. The others go to a random one of its
     /// shard.
--- a/simulation/src/endpoint/mod.rs
+++ b/simulation/src/endpoint/mod.rs
@@ -179,7 +179,8 @@
         &self.received
     }
 
-    /// Returns the sum of the work that arrived from `start` until before `end`, and since the last start.
+    /// Returns the total work that arrived between `start` (inclusive) and `end` (exclusive). Excludes work
+    /// that arrived before the last start.
     #[must_use]
     pub fn work_received_between(&self, start: Timestamp, end: Timestamp) -> f64 {
         let is_within = |received: &&ReceivedWork| (start..end).contains(&received.at);
--- a/simulation/src/fleet/client_requests.rs
+++ b/simulation/src/fleet/client_requests.rs
@@ -15,7 +15,6 @@
     pub is_client_waiting: bool,
     /// Number of attempts started so far.
     pub attempt_count: u32,
-    /// The attempt in flight.
     pub attempt: Option<Attempt>,
 }
 
--- a/tests/process/attempts.rs
+++ b/tests/process/attempts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn non_idempotent_request_fails_after_a_connection_reset_and_is_rejected_after_a_busy_reply() {
+fn non_idempotent_request_fails_after_a_reset_and_is_rejected_after_a_busy_reply() {
     let fleet = SingleEndpoint::start();
     let mut client = fleet.gateway.connect();
     client.send(write_request("pay", 5000));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn late_reply_to_a_timed_out_attempt_is_not_sent_as_reply_to_the_next_request() {
+fn late_answer_never_reaches_the_next_request() {
     let fleet = SingleEndpoint::start();
     let mut client = fleet.gateway.connect();
     // One success before the timeout keeps the gateway from shedding the later requests at random. The
--- a/tests/process/graceful_shutdown.rs
+++ b/tests/process/graceful_shutdown.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn requests_with_deadlines_beyond_the_shutdown_timeout_are_answered_before_the_exit() {
+fn request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit() {
     check_once_set_up(check_requests_that_outlast_the_shutdown);
 }
 
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn gateway_that_waits_for_its_first_endpoint_list_exits_after_sigterm() {
+fn sigterm_ends_a_gateway_that_waits_for_its_first_endpoint_list() {
     let (mut gateway, _discovery) = gateway_awaiting_its_first_list();
     gateway.signal(Signal::Terminate);
     gateway.wait_for_log(LOG_SHUTTING_DOWN);
--- a/tests/process/resource_limits.rs
+++ b/tests/process/resource_limits.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 
 #[test]
-fn partial_commands_beyond_the_memory_limit_are_rejected() {
+fn buffered_partial_commands_stay_within_the_memory_limit() {
     let fleet = SingleEndpoint::configured(|config| config.memory_mb = 32);
     let partial_command = [&b"*2\r\n$4\r\nPING\r\n$65000\r\n"[..], &vec![b'x'; 60_000]].concat();
     let mut clients: Vec<Connection> = (0..150).map(|_| fleet.gateway.connect()).collect();
--- a/tests/process/support/disconnects.rs
+++ b/tests/process/support/disconnects.rs
@@ -92,15 +92,16 @@
     }
 }
 
-/// Time from SIGTERM by which a suspended gateway must be resumed. The gateway answers all requests within
-/// 3.33 s of SIGTERM, which is nine tenths of the time that the protocol allows and that no setting can
-/// extend. The difference is left for the gateway's own work.
+/// Latest time after SIGTERM at which a suspended gateway must be resumed. The gateway answers all requests
+/// within 3.33 s of SIGTERM, which is nine tenths of the time that the protocol allows and that no setting
+/// can extend. The difference is left for the gateway's own work.
 const LATEST_RESUME: Duration = Duration::from_millis(2800);
 
-/// Time from SIGTERM for which the gateway accepts new connections.
+/// Time after SIGTERM during which the gateway accepts new connections.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
 
-/// Error: the shutdown deadline passed before the test case was set up, because the machine was too slow.
+/// Error returned when the shutdown deadline passes before a test case is set up, because the machine is too
+/// slow.
 #[derive(Debug)]
 pub struct ShutdownOver;
 
