--- a/simulation/src/fleet/attempts.rs
+++ b/simulation/src/fleet/attempts.rs
@@ -175,5 +175,5 @@
     let index = endpoints
         .iter()
         .rposition(|endpoint| endpoint.entry.name == *name);
-    EndpointIndex(index.expect("a gateway forwards to endpoints of the list"))
+    EndpointIndex(index.expect("a gateway forwards only to endpoints in the endpoint list"))
 }
--- a/tests/architecture/layers.rs
+++ b/tests/architecture/layers.rs
@@ -21,7 +21,9 @@
         .map(|line| {
             let mut words = line.split_whitespace();
             Layer {
-                name: words.next().expect("a line begins with its layer"),
+                name: words
+                    .next()
+                    .expect("a line begins with the name of its layer"),
                 allowed: words.collect(),
             }
         })
--- a/tests/architecture/sources.rs
+++ b/tests/architecture/sources.rs
@@ -47,7 +47,9 @@
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
-                let relative = path.strip_prefix(root()).expect("a path below the root");
+                let relative = path
+                    .strip_prefix(root())
+                    .expect("the path is below the repository root");
                 sources.push(Source {
                     path: relative.display().to_string(),
                     text: read(&path),
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -37,7 +37,9 @@
     while let Some(folder) = folders.pop() {
         for entry in fs::read_dir(folder).expect("the folder can be listed") {
             let path = entry.expect("the entry can be read").path();
-            let relative = path.strip_prefix(root()).expect("a path below the root");
+            let relative = path
+                .strip_prefix(root())
+                .expect("the path is below the repository root");
             let relative = relative.display().to_string();
             if path.is_dir() && !SKIPPED_FOLDERS.contains(&relative.as_str()) {
                 folders.push(path);
@@ -248,7 +250,7 @@
     let page = read("docs/OPERATIONS.md");
     let (_, section) = page
         .split_once("\n## Log events\n")
-        .expect("the page has the section");
+        .expect("the page has a section on log events");
     let section = section.split("\n## ").next().unwrap_or(section);
     section
         .lines()
@@ -261,7 +263,10 @@
 #[test]
 fn documented_log_events_match_the_log_module() {
     let logged = logged_events();
-    assert!(!logged.is_empty(), "expected to find the names of events");
+    assert!(
+        !logged.is_empty(),
+        "expected to find event names in src/gateway/log.rs"
+    );
     assert_eq!(
         documented_events(),
         logged,
--- a/tests/process/descriptor_limit.rs
+++ b/tests/process/descriptor_limit.rs
@@ -25,7 +25,7 @@
 fn expect_descriptors_never_ran_out(gateway: &GatewayProcess) {
     assert!(
         !gateway.has_logged("cannot accept"),
-        "expected enough descriptors for every connection, got {:?}",
+        "expected no accept to fail for lack of descriptors, log {:?}",
         gateway.log()
     );
 }
--- a/tests/process/graceful_shutdown.rs
+++ b/tests/process/graceful_shutdown.rs
@@ -157,7 +157,7 @@
     });
     attempts
         .find(|(gateway, _)| !gateway.has_logged(LOG_SERVING))
-        .expect("one gateway of many waits for its list")
+        .expect("at least one of 100 gateways is waiting for its list")
 }
 
 #[test]
--- a/tests/process/support/connection.rs
+++ b/tests/process/support/connection.rs
@@ -72,7 +72,7 @@
         self.stream
             .get_mut()
             .write_all(bytes.as_ref())
-            .expect("the connection takes the bytes");
+            .expect("the write to the connection succeeds");
     }
 
     /// Sends on a connection that the other end may have closed.
--- a/tests/process/support/gateway_process.rs
+++ b/tests/process/support/gateway_process.rs
@@ -148,12 +148,12 @@
             .status();
         assert!(
             status.expect("kill can be run").success(),
-            "expected the gateway to be there for {signal:?}"
+            "expected the gateway to be running when {signal:?} is sent"
         );
     }
 
-    /// Suspends the process. Input that arrives before [`GatewayProcess::resume`] is available to it all at
-    /// once then, in the order of arrival.
+    /// Suspends the process. When [`GatewayProcess::resume`] continues it, all input that has arrived in the
+    /// meantime is available at once, in the order of arrival.
     #[track_caller]
     pub fn suspend(&self) {
         assert!(
@@ -171,7 +171,7 @@
         const ENDED: char = 'Z';
         self.signal(Signal::Stop);
         let mut state = None;
-        wait_until("the gateway is stopped or has ended", || {
+        wait_until("the gateway is suspended or has exited", || {
             state = self.state();
             matches!(state, Some(STOPPED | ENDED))
         });
@@ -181,7 +181,7 @@
     /// Returns the process state in the encoding of `/proc/PID/stat`.
     fn state(&self) -> Option<char> {
         let path = format!("/proc/{}/stat", self.child.id());
-        let stat = std::fs::read_to_string(path).expect("the gateway was not waited for");
+        let stat = std::fs::read_to_string(path).expect("the gateway process has not been reaped");
         // The state follows the program name, which is in parentheses.
         stat.rsplit(')').next()?.trim_start().chars().next()
     }
--- a/tests/process/support/idle_clients.rs
+++ b/tests/process/support/idle_clients.rs
@@ -98,7 +98,7 @@
             let joined = self.thread.take().map(JoinHandle::join);
             assert!(
                 joined.is_none_or(|result| result.is_ok()),
-                "expected every idle client to get its connections"
+                "expected all connects of the idle clients to succeed"
             );
         }
     }
--- a/tests/process/support/sockets.rs
+++ b/tests/process/support/sockets.rs
@@ -78,7 +78,7 @@
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().expect("the listener is bound");
         let backlog_connection =
-            TcpStream::connect(address).expect("the backlog takes one connection");
+            TcpStream::connect(address).expect("the backlog has room for one connection");
         FullBacklogListener {
             listener,
             _backlog_connection: backlog_connection,
