--- a/examples/decision_digest/main.rs
+++ b/examples/decision_digest/main.rs
@@ -16,7 +16,6 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Number of threads that run scenarios in parallel.
 const THREADS: usize = 3;
 
 fn main() -> ExitCode {
--- a/examples/decision_digest/scenario/defaults.rs
+++ b/examples/decision_digest/scenario/defaults.rs
@@ -179,27 +179,25 @@
     }
 }
 
-/// Sets the fault of an endpoint at time `at`.
 pub fn fault(at: Timestamp, endpoint: usize, fault: Fault) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Fault(EndpointIndex(endpoint), fault))
 }
 
-/// Sets the factor on the service times of an endpoint at time `at`.
+/// Sets the factor by which the service times of an endpoint are multiplied from time `at` on.
 fn slow(at: Timestamp, endpoint: usize, factor: f64) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Slow(EndpointIndex(endpoint), factor))
 }
 
-/// Restarts an endpoint at time `at`.
 pub fn restart(at: Timestamp, endpoint: usize) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Restart(EndpointIndex(endpoint)))
 }
 
-/// Replaces an endpoint by one with a new name at time `at`.
+/// Replaces an endpoint with one that has a new name.
 fn replace(at: Timestamp, endpoint: usize) -> PlannedIncident {
     PlannedIncident::at(at, Incident::Replace(EndpointIndex(endpoint)))
 }
 
-/// Restarts a gateway at time `at`, which loses its state.
+/// Restarts a gateway, which loses its state.
 pub fn restart_gateway(at: Timestamp, gateway: u32) -> PlannedIncident {
     PlannedIncident::at(at, Incident::RestartGateway(GatewayId(gateway)))
 }
--- a/simulation/src/clients/tenants.rs
+++ b/simulation/src/clients/tenants.rs
@@ -67,7 +67,7 @@
     pub idle: Option<IdlePeriod>,
     /// Shard sizes, assigned in turn to groups of tenants with one tenant per plan. 0 means all gateways.
     pub shard_sizes: Vec<u32>,
-    /// Fraction of requests sent to the tenant's preferred gateway. The others go to a random one of its
+    /// Fraction of requests sent to the tenant's preferred gateway. The others go to a random gateway of the
     /// shard.
     pub sticky_ratio: f64,
     /// Fraction of clients that disconnect early.
--- a/tests/architecture/imports.rs
+++ b/tests/architecture/imports.rs
@@ -89,7 +89,8 @@
     }
 }
 
-/// Resolves a path relative to `module`, and drops the item at its end. Segments in upper case are items.
+/// Resolves a path relative to `module`, and drops the item at its end. Segments that start with an
+/// upper-case letter are items.
 fn resolve(path: &str, module: &[String]) -> Option<Vec<String>> {
     let mut segments = path.split("::").peekable();
     let mut resolved = module.to_vec();
--- a/tests/process/support/gossip_peer.rs
+++ b/tests/process/support/gossip_peer.rs
@@ -109,7 +109,7 @@
 }
 
 impl QuotaRequest {
-    /// Parses a quota request message.
+    /// Parses a quota request. Panics if the message is of another kind.
     #[track_caller]
     pub fn parse(message: &str) -> QuotaRequest {
         let parts: Vec<&str> = message.split(',').collect();
--- a/tests/process/support/requests.rs
+++ b/tests/process/support/requests.rs
@@ -7,7 +7,7 @@
 pub const SECOND_TENANT: &str = "00000000b4d65522";
 /// A tenant whose clients never disconnect.
 pub const UNAFFECTED_TENANT: &str = "00000000b4d65524";
-/// Request id of the request that a test identifies by its id.
+/// Id of a request that the test must recognize later.
 pub const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
 
 /// Maximum deadline that the gateway accepts. Requests that must stay in the gateway during the setup of a
--- a/tests/process/support/sockets.rs
+++ b/tests/process/support/sockets.rs
@@ -27,7 +27,6 @@
     Socket::new(Domain::IPV4, Type::STREAM, None).expect("a TCP socket can be created")
 }
 
-/// Returns a socket that is not connected.
 pub fn unconnected_stream() -> TcpStream {
     tcp_socket().into()
 }
