--- a/src/gateway/clients/connection.rs
+++ b/src/gateway/clients/connection.rs
@@ -1,6 +1,6 @@
-//! One client's connection: its socket and its responses, and the events that change its state.
+//! A client connection: combines the socket, the response queue and the connection state.
 
-use super::connection_state::{Awaited, CloseWhen, ConnectionState, ConnectionStep};
+use super::connection_state::{AwaitedEvent, CloseWhen, ConnectionState, ConnectionStep};
 use super::responses::Responses;
 use super::socket::{ClientSocket, ReadOutcome};
 use crate::RequestId;
@@ -11,34 +11,35 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// The first command of a connection, and the rest of each command that has begun to arrive, must be received within
-/// this time, however slowly the bytes trickle in. A client must accept some bytes of its responses as often.
+/// Timeout for receiving the first command of a connection, and for receiving each command from its first
+/// byte on. A client must also accept some response bytes within this time while any are unsent.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Bytes that a connection may use for its input, and as many for its responses, also while the memory budgets are
-/// exhausted. Larger buffers are released between commands.
+/// Buffer size that each connection may use for its input, and again for its responses, even if the
+/// memory budgets are exhausted. Larger input buffers are released between commands.
 pub(super) const ALWAYS_ALLOWED_BYTES: usize = 16 * 1024;
 
-/// A client's connection.
+/// A client connection, shared by its task and the handler of its requests.
 pub struct ClientConnection {
     socket: ClientSocket,
     state: RefCell<ConnectionState>,
     responses: RefCell<Responses>,
-    /// Wakes the connection's task.
+    /// Wakes the connection task.
     wake: Notify,
     input_memory: MemoryReservation,
 }
 
 impl ClientConnection {
-    /// Creates the state of an accepted connection. `close` is given when all connections are being closed.
+    /// Creates a connection from an accepted socket. `close_condition` is set if all connections are
+    /// being closed.
     pub(super) fn new(
         stream: TcpStream,
-        close: Option<CloseWhen>,
+        close_condition: Option<CloseWhen>,
         input_memory: MemoryReservation,
         response_memory: MemoryReservation,
     ) -> ClientConnection {
         ClientConnection {
             socket: ClientSocket::new(stream),
-            state: RefCell::new(ConnectionState::new(close)),
+            state: RefCell::new(ConnectionState::new(close_condition)),
             responses: RefCell::new(Responses::new(response_memory, ALWAYS_ALLOWED_BYTES)),
             wake: Notify::new(),
             input_memory,
@@ -47,77 +48,79 @@
 
     // Responses.
 
-    /// Gives the answer to a request. It is written once all earlier requests are answered.
+    /// Answers a request. The response is written after those to all earlier requests on the connection.
+    /// Does nothing if the request was already answered.
     pub fn answer(&self, request: RequestId, response: &[u8]) {
-        self.state.borrow_mut().answered();
+        self.state.borrow_mut().request_answered();
         self.responses
             .borrow_mut()
             .complete(request, response, &self.socket);
         self.wake_if_needed();
     }
 
-    /// Adds a response that is known at once, in its order.
+    /// Responds to a command that is not forwarded. The response is written in request order.
     pub(super) fn respond(&self, response: &[u8]) {
-        self.responses.borrow_mut().push(response, &self.socket);
+        self.responses
+            .borrow_mut()
+            .push_ready(response, &self.socket);
         self.wake_if_needed();
     }
 
-    /// Wakes the task where a response gives it something to do that it does not wait for otherwise.
+    /// Wakes the task if a new response requires it to act: unsent or failed output, a pending close, or
+    /// a task that waits for a response.
     fn wake_if_needed(&self) {
         let responses = self.responses.borrow();
         let state = self.state.borrow();
         if responses.has_failed()
             || responses.has_unsent()
-            || state.waits_for_answer()
+            || state.awaits_response()
             || state.is_closing()
         {
             self.wake.notify_one();
         }
     }
 
-    /// Expects an answer to a request.
-    pub(super) fn expect_answer(&self, request: RequestId) {
-        self.responses.borrow_mut().expect(request);
+    /// Reserves the place of a request's response in the response order.
+    pub(super) fn reserve_response(&self, request: RequestId) {
+        self.responses.borrow_mut().push_pending(request);
     }
 
-    /// Stops expecting answers, and returns the requests that have none.
+    /// Clears the response queue and returns the requests that were not answered.
     pub(super) fn take_unanswered(&self) -> impl Iterator<Item = RequestId> + use<> {
         self.responses.borrow_mut().take_pending()
     }
 
-    /// Gives up all responses, so that the task ends.
+    /// Discards all responses, which ends the task.
     pub(super) fn fail(&self) {
         self.responses.borrow_mut().fail();
     }
 
-    /// Whether no response can be delivered any more.
     pub(super) fn has_failed(&self) -> bool {
         self.responses.borrow().has_failed()
     }
 
-    /// The number of responses that are pending, or wait for a pending one.
+    /// Number of queued responses: pending ones, and complete ones behind a pending one.
     pub(super) fn pending_responses(&self) -> usize {
         self.responses.borrow().len()
     }
 
-    /// Whether some bytes wait for the socket to accept them.
     pub(super) fn has_unsent(&self) -> bool {
         self.responses.borrow().has_unsent()
     }
 
-    /// Writes what the socket has not accepted before.
+    /// Writes unsent bytes until the socket would block.
     pub(super) fn flush(&self) {
         self.responses.borrow_mut().flush(&self.socket);
     }
 
-    /// Whether every request is answered, and every response accepted by the socket.
+    /// Whether all requests are answered and the socket has accepted all responses.
     pub(super) fn is_idle(&self) -> bool {
         self.responses.borrow().is_idle()
     }
 
     // Input.
 
-    /// Reads what has arrived, and records the end of the input.
+    /// Reads the available input into `received`, and records the end of the input.
     pub(super) fn read(&self, received: &mut Vec<u8>) -> io::Result<()> {
         if self.socket.read(received, ALWAYS_ALLOWED_BYTES)? == ReadOutcome::InputEnded {
             self.state.borrow_mut().input_ended();
@@ -125,32 +128,33 @@
         Ok(())
     }
 
-    /// Records that whole commands were received.
+    /// Records that complete commands were received and processed.
     pub(super) fn command_received(&self) {
         self.state.borrow_mut().command_received();
     }
 
-    /// Records that only a part of a command was received.
+    /// Records that the input ends with a partial command.
     pub(super) fn partial_command_received(&self) {
-        self.state.borrow_mut().part_received();
+        self.state.borrow_mut().partial_command_received();
     }
 
-    /// Reserves memory for the input. False if the connection has to be closed for lack of memory.
+    /// Sets the memory reserved for the input. Returns `false` if the budget is exceeded and the
+    /// connection must be closed.
     pub(super) fn reserve_input(&self, bytes: usize) -> bool {
         self.input_memory.set(bytes, ALWAYS_ALLOWED_BYTES)
     }
 
-    /// Whether the end of the input was read.
     pub(super) fn has_input_ended(&self) -> bool {
         self.state.borrow().has_input_ended()
     }
 
-    /// Whether a whole command was ever received.
+    /// Whether the client has sent at least one complete command.
     pub(super) fn has_sent_command(&self) -> bool {
         self.state.borrow().has_sent_command()
     }
 
-    /// Whether the client has disconnected, as far as is known now, also when the runtime has not seen it yet.
+    /// Whether the client is known to have disconnected. Queries the socket directly, so it also detects
+    /// a disconnect that the runtime has not seen yet.
     #[must_use]
     pub fn is_disconnected(&self) -> bool {
         self.socket.is_disconnected()
@@ -158,23 +162,23 @@
 
     // Closing and timeouts.
 
-    /// Closes the connection at the next opportunity.
-    pub(super) fn close_when(&self, when: CloseWhen) {
-        self.state.borrow_mut().close_when(when);
+    /// Requests that the connection be closed under a condition, and wakes the task.
+    pub(super) fn request_close(&self, condition: CloseWhen) {
+        self.state.borrow_mut().request_close(condition);
         self.wake.notify_one();
     }
 
-    /// Whether the gateway closes the connection at the next opportunity.
+    /// Whether the gateway will close the connection.
     pub(super) fn is_closing(&self) -> bool {
         self.state.borrow().is_closing()
     }
 
-    /// When the connection was accepted, or last received a command or an answer.
+    /// Time of the last command or response, or of the accept if there was none.
     pub(super) fn last_active(&self) -> Instant {
         self.state.borrow().last_active()
     }
 
-    /// Applies the timeouts. `idle_timeout` is how long the connection may pause between commands.
+    /// Applies the timeouts. `idle_timeout` limits how long the connection may be idle between commands.
     pub(super) fn expire(&self, now: Instant, idle_timeout: Duration) {
         if self.responses.borrow().is_stalled(now, REQUEST_TIMEOUT) {
             self.fail();
@@ -184,10 +188,11 @@
         }
     }
 
-    /// What the task does next.
+    /// Returns the next step of the task.
     ///
-    /// A request that has arrived is served, although the runtime has not seen it yet. Closing over it would also
-    /// discard the last response (test `command_that_arrived_before_its_connection_is_closed_is_answered`).
+    /// A command that has arrived is still processed, even if the runtime has not seen it yet. Closing a
+    /// socket with unread input would also discard the last response (test
+    /// `command_that_arrived_before_its_connection_is_closed_is_answered`).
     pub(super) fn next_step(&self) -> ConnectionStep {
         match self.state.borrow().next_step(self.is_idle()) {
             ConnectionStep::Wait => ConnectionStep::Wait,
@@ -196,19 +201,18 @@
         }
     }
 
-    // The connection's task.
+    // Connection task.
 
-    /// The socket.
     pub(super) fn socket(&self) -> &ClientSocket {
         &self.socket
     }
 
-    /// Records what the task waits for.
-    pub(super) fn set_awaited(&self, awaited: Awaited) {
-        self.state.borrow_mut().set_awaited(awaited);
+    /// Sets the event that the task waits for from now on.
+    pub(super) fn set_awaited_event(&self, awaited: AwaitedEvent) {
+        self.state.borrow_mut().set_awaited_event(awaited);
     }
 
-    /// Waits until the task is woken.
+    /// Waits for a wake-up by a response, a close request or an expired timeout.
     pub(super) async fn woken(&self) {
         self.wake.notified().await;
     }
--- a/src/gateway/clients/connection_error.rs
+++ b/src/gateway/clients/connection_error.rs
@@ -1,20 +1,21 @@
-//! Errors that close a client's connection.
+//! Errors that close a client connection.
 
 use crate::gateway::resp::ProtocolError;
 use thiserror::Error;
 
-/// Why the gateway closes a connection after an error response.
+/// Error after which the gateway responds to the client and closes the connection.
 ///
-/// The text is part of the wire protocol: the client reads it behind `-ERR protocol error: `.
+/// The text of each variant is part of the wire protocol. The client receives it after the prefix `-ERR
+/// protocol error: `.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum ConnectionError {
-    /// The input is not RESP, so that the beginning of the next command is unknown.
+    /// The input is not valid RESP, so the start of the next command cannot be located.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The partial commands of all connections exceed their memory budget.
+    /// The partially received commands of all connections exceed their shared memory budget.
     #[error("no room for so long a command now")]
     OutOfMemory,
-    /// No whole command has arrived within [`REQUEST_TIMEOUT`](super::REQUEST_TIMEOUT).
+    /// No complete command arrived within [`REQUEST_TIMEOUT`](super::REQUEST_TIMEOUT).
     #[error("no whole command in time")]
     RequestTimeout,
 }
--- a/src/gateway/clients/connection_state.rs
+++ b/src/gateway/clients/connection_state.rs
@@ -1,112 +1,112 @@
-//! The state of a client's connection: what is received, what is sent, and whether the gateway wants to close it.
+//! State machine of a client connection: its input, its output, and a pending close by the gateway.
 //!
-//! The two directions of a TCP connection end independently of each other, so each has states of its own. All
-//! transitions are here, and none of them does input or output. The connection's task asks for the [`ConnectionStep`].
+//! The two directions of a TCP connection end independently, so each has its own states. All transitions
+//! are in this module, and none performs I/O. The connection task queries the next [`ConnectionStep`].
 //!
-//! Input, [`ConnectionState`]:
+//! Input, [`InputState`]:
 //!
-//! | state | part of a command | whole command | end of the input | timeout check while idle |
+//! | state | partial command | complete command | end of input | timeout check while idle |
 //! | --- | --- | --- | --- | --- |
-//! | `BetweenCommands` | `ReceivingCommand` | stays | `Ended` | `TimedOut` if the first command is late; closing if idle for too long |
-//! | `ReceivingCommand` | stays | `BetweenCommands` | `Ended` | `TimedOut` if the command is late |
-//! | `TimedOut` | stays | `BetweenCommands` | `Ended` | stays |
-//! | `Ended` | stays | stays | stays | stays |
+//! | `BetweenCommands` | `ReceivingCommand` | unchanged | `Ended` | `TimedOut` or close, see `expire` |
+//! | `ReceivingCommand` | unchanged | `BetweenCommands` | `Ended` | `TimedOut` if the command is late |
+//! | `TimedOut` | unchanged | `BetweenCommands` | `Ended` | unchanged |
+//! | `Ended` | unchanged | unchanged | unchanged | unchanged |
 //!
 //! Output, [`OutputState`]:
 //!
-//! | state | socket takes everything | socket takes a part | socket takes nothing | error, too much unread, or stalled |
+//! | state | all bytes accepted | some bytes accepted | no bytes accepted | error, too much unread, stalled |
 //! | --- | --- | --- | --- | --- |
-//! | `Writable` | stays | `Blocked` | `Blocked` | `Failed` |
-//! | `Blocked` | `Writable` | `Blocked`, counted from now | stays | `Failed` |
-//! | `Failed` | stays | stays | stays | stays |
+//! | `Writable` | unchanged | `Blocked` | `Blocked` | `Failed` |
+//! | `Blocked` | `Writable` | `Blocked` since now | unchanged | `Failed` |
+//! | `Failed` | unchanged | unchanged | unchanged | unchanged |
 //!
-//! What the task does next:
+//! Next step of the task. "Idle" means that every request is answered and every response is delivered:
 //!
-//! | input | output | closing | next step |
+//! | input | output | close condition | next step |
 //! | --- | --- | --- | --- |
-//! | any | `Failed` | any | end |
-//! | `Ended` | not `Failed` | any | start what was received before the end, then end |
+//! | any | `Failed` | any | end the task |
+//! | `Ended` | not `Failed` | any | process the commands received before the end, then end the task |
 //! | `TimedOut` | idle | any | [`ConnectionStep::RejectLateCommand`] |
-//! | any | idle | [`CloseWhen::NoRequestPending`] | [`ConnectionStep::Close`] |
-//! | `BetweenCommands` | idle | [`CloseWhen::NoCommandPartial`] | [`ConnectionStep::Close`] |
+//! | any other | idle | [`CloseWhen::NoPendingRequest`] | [`ConnectionStep::Close`] |
+//! | `BetweenCommands` | idle | [`CloseWhen::NoPartialCommand`] | [`ConnectionStep::Close`] |
 //! | otherwise | | | [`ConnectionStep::Wait`] |
 
 use super::connection::REQUEST_TIMEOUT;
 use std::time::{Duration, Instant};
 
-/// When the gateway closes a connection.
+/// Condition under which the gateway closes a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseWhen {
-    /// As soon as every request is answered.
-    NoRequestPending,
-    /// As soon as every request is answered and no part of a command is received.
-    NoCommandPartial,
+    /// Every request is answered and its response delivered.
+    NoPendingRequest,
+    /// Every request is answered and its response delivered, and no partial command has been received.
+    NoPartialCommand,
 }
 
-/// What the task of a connection does once it has started every command that it may.
+/// Next step of a connection task that has processed all the input it may process now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionStep {
-    /// It waits for input, for an answer, or for the socket.
+    /// Wait for input, for a response, or for the socket to become writable.
     Wait,
-    /// It closes the connection.
     Close,
-    /// It notifies the client that no whole command arrived in time, and closes the connection.
+    /// Send the client a timeout error and close the connection.
     RejectLateCommand,
 }
 
-/// What the task of a connection waits for.
+/// The event that a connection task waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Awaited {
-    /// Input. An answer alone gives it nothing to do.
+pub(super) enum AwaitedEvent {
+    /// Further input. A response alone does not wake the task.
     Input,
-    /// An answer: no further command may be started before.
-    Answer,
+    /// A response. No further command may be processed until it is given.
+    Response,
 }
 
-/// What was received since the last whole command.
+/// The input received since the last complete command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum InputState {
-    /// Nothing.
+    /// No input since the last complete command.
     BetweenCommands,
-    /// A part of a command.
+    /// Part of a command, whose first byte arrived at `since`.
     ReceivingCommand { since: Instant },
-    /// No whole command within [`REQUEST_TIMEOUT`].
+    /// No complete command arrived within [`REQUEST_TIMEOUT`].
     TimedOut,
-    /// The end of the input: the client has disconnected.
+    /// The end of the input was read: the client has disconnected.
     Ended,
 }
 
-/// The state of a connection but for its output.
+/// State of a connection, except for its output.
 pub(super) struct ConnectionState {
     input: InputState,
-    /// Whether the gateway wants to close the connection, and when it may.
-    close: Option<CloseWhen>,
-    /// Whether a whole command was ever received.
+    /// When to close the connection; `None` while no close is requested.
+    close_condition: Option<CloseWhen>,
+    /// Whether the client has sent at least one complete command.
     has_sent_command: bool,
-    /// When the connection was accepted, or last received a command or an answer.
+    /// Time of the last command or response, or of the accept if there was none.
     last_active: Instant,
-    awaited: Awaited,
+    awaited: AwaitedEvent,
 }
 
 impl ConnectionState {
-    /// The state of a connection that was accepted just now. `close` is given when all connections are being closed.
-    pub(super) fn new(close: Option<CloseWhen>) -> ConnectionState {
+    /// Creates the state of a newly accepted connection. `close_condition` is set if all connections are
+    /// being closed.
+    pub(super) fn new(close_condition: Option<CloseWhen>) -> ConnectionState {
         ConnectionState {
             input: InputState::BetweenCommands,
-            close,
+            close_condition,
             has_sent_command: false,
             last_active: Instant::now(),
-            awaited: Awaited::Input,
+            awaited: AwaitedEvent::Input,
         }
     }
 
     // Transitions.
 
-    /// The input ends in a part of a command.
+    /// Records that the input ends with a partial command.
     ///
-    /// The time for the command runs from its first byte, so that a client cannot hold a connection by sending a byte
-    /// now and then. It is not cancelled by further bytes, and a connection that has timed out stays so.
-    pub(super) fn part_received(&mut self) {
+    /// The timeout starts at the first byte of the command, so a client cannot hold a connection open by
+    /// sending a byte now and then. Further bytes neither extend nor cancel it.
+    pub(super) fn partial_command_received(&mut self) {
         if self.input == InputState::BetweenCommands {
             self.input = InputState::ReceivingCommand {
                 since: Instant::now(),
@@ -114,11 +114,12 @@
         }
     }
 
-    /// Whole commands were received and started.
+    /// Records that complete commands were received and processed.
     ///
-    /// This also cancels a timeout that the client has not been notified of: a command that arrived as its time was up
-    /// is answered (test `command_that_arrived_before_the_request_timeout_is_answered`). After the end of the input
-    /// there is no next command, so the end stays known.
+    /// This also cancels a timeout that was not yet reported to the client: a command that arrived just
+    /// as the timeout expired is answered (test
+    /// `command_that_arrived_before_the_request_timeout_is_answered`). It does not cancel the end of the
+    /// input, after which no command can follow.
     pub(super) fn command_received(&mut self) {
         if self.input != InputState::Ended {
             self.input = InputState::BetweenCommands;
@@ -127,33 +128,34 @@
         self.last_active = Instant::now();
     }
 
-    /// A request was answered. The pause that the idle timeout limits begins anew.
-    pub(super) fn answered(&mut self) {
+    /// Records that a request was answered, which restarts the idle timeout.
+    pub(super) fn request_answered(&mut self) {
         self.last_active = Instant::now();
     }
 
-    /// The end of the input was read.
+    /// Records the end of the input.
     ///
-    /// The protocol takes it for a disconnect: nobody reads the answers, so no request may be started any more. Commands
-    /// that were received before are still parsed, because those that are no requests are answered (test
-    /// `ping_that_arrives_together_with_a_half_close_is_answered`).
+    /// The protocol treats a half-close as a disconnect. Nobody reads the responses, so no further
+    /// request may be processed. Commands received earlier are still parsed, because those that are not
+    /// requests are answered (test `ping_that_arrives_together_with_a_half_close_is_answered`).
     pub(super) fn input_ended(&mut self) {
         self.input = InputState::Ended;
     }
 
-    /// The gateway wants to close the connection. A later wish replaces an earlier one.
+    /// Requests that the connection be closed under a condition. Replaces an earlier condition.
     ///
-    /// Nothing is closed yet: a request that was received is answered first, and on a shutdown also one of which a part
-    /// was received (test `partial_command_at_shutdown_is_completed_and_answered`).
-    pub(super) fn close_when(&mut self, when: CloseWhen) {
-        self.close = Some(when);
+    /// Received requests are answered before the close. At shutdown this also covers a request of which
+    /// only a part has been received (test `partial_command_at_shutdown_is_completed_and_answered`).
+    pub(super) fn request_close(&mut self, condition: CloseWhen) {
+        self.close_condition = Some(condition);
     }
 
-    /// Applies the timeouts to a connection on which every request is answered and every response delivered. Returns
-    /// whether the task has something to do because of that.
+    /// Applies the timeouts to an idle connection: every request is answered and every response
+    /// delivered. Returns whether the task has to act on an expired timeout.
     ///
-    /// The protocol gives the first command, and each command that has begun to arrive, [`REQUEST_TIMEOUT`]; the client
-    /// is notified when it is late. A pause between commands may last for `idle_timeout`, and ends without a message.
+    /// The first command of a connection, and each partially received command, must be complete within
+    /// [`REQUEST_TIMEOUT`]; the client is sent an error otherwise. A connection may be idle between
+    /// commands for `idle_timeout` and is then closed without a message.
     pub(super) fn expire(&mut self, now: Instant, idle_timeout: Duration) -> bool {
         let exceeds =
             |since: Instant, limit: Duration| now.saturating_duration_since(since) > limit;
@@ -172,80 +174,82 @@
         if is_command_late {
             self.input = InputState::TimedOut;
         } else if is_idle_too_long {
-            self.close_when(CloseWhen::NoRequestPending);
+            self.request_close(CloseWhen::NoPendingRequest);
         }
         is_command_late || is_idle_too_long
     }
 
-    /// The task waits for something else from now on.
-    pub(super) fn set_awaited(&mut self, awaited: Awaited) {
+    /// Sets the event that the task waits for from now on.
+    pub(super) fn set_awaited_event(&mut self, awaited: AwaitedEvent) {
         self.awaited = awaited;
     }
 
     // Queries.
 
-    /// What the task does next. `is_idle` says whether every request is answered and every response delivered.
+    /// Returns the next step of the task. `is_idle` tells whether every request is answered and every
+    /// response delivered.
     ///
-    /// The caller must not end the connection over unread input, which only the socket knows of.
+    /// The caller must check the socket for unread input before it closes the connection.
     pub(super) fn next_step(&self, is_idle: bool) -> ConnectionStep {
         let is_between_commands = self.input == InputState::BetweenCommands;
-        match (self.input, self.close) {
+        match (self.input, self.close_condition) {
             _ if !is_idle => ConnectionStep::Wait,
             (InputState::TimedOut, _) => ConnectionStep::RejectLateCommand,
             (InputState::Ended, _) | (_, None) => ConnectionStep::Wait,
-            (_, Some(CloseWhen::NoRequestPending)) => ConnectionStep::Close,
-            (_, Some(CloseWhen::NoCommandPartial)) if is_between_commands => ConnectionStep::Close,
-            (_, Some(CloseWhen::NoCommandPartial)) => ConnectionStep::Wait,
+            (_, Some(CloseWhen::NoPendingRequest)) => ConnectionStep::Close,
+            (_, Some(CloseWhen::NoPartialCommand)) if is_between_commands => ConnectionStep::Close,
+            (_, Some(CloseWhen::NoPartialCommand)) => ConnectionStep::Wait,
         }
     }
 
-    /// Whether the gateway closes the connection at the next opportunity. After the end of the input there is nothing
-    /// left that it could close in order.
+    /// Whether the gateway will close the connection. False after the end of the input, when an orderly
+    /// close is no longer possible.
     pub(super) fn is_closing(&self) -> bool {
-        self.close.is_some() && !self.has_input_ended()
+        self.close_condition.is_some() && !self.has_input_ended()
     }
 
-    /// Whether the end of the input was read.
     pub(super) fn has_input_ended(&self) -> bool {
         self.input == InputState::Ended
     }
 
-    /// Whether a whole command was ever received.
+    /// Whether the client has sent at least one complete command.
     pub(super) fn has_sent_command(&self) -> bool {
         self.has_sent_command
     }
 
-    /// When the connection was accepted, or last received a command or an answer.
+    /// Time of the last command or response, or of the accept if there was none.
     pub(super) fn last_active(&self) -> Instant {
         self.last_active
     }
 
-    /// Whether the task waits for an answer rather than for input.
-    pub(super) fn waits_for_answer(&self) -> bool {
-        self.awaited == Awaited::Answer
+    /// Whether the task waits for a response and not for input.
+    pub(super) fn awaits_response(&self) -> bool {
+        self.awaited == AwaitedEvent::Response
     }
 }
 
-/// Whether the socket accepts what is written.
+/// Whether the socket accepts output.
 #[derive(Clone, Copy)]
 pub(super) enum OutputState {
-    /// Everything was accepted.
+    /// All output was accepted.
     Writable,
-    /// Some bytes were not accepted. The last ones that were, or the first that were not, date from `since`.
+    /// Some bytes were not accepted. `since` is the time of the last progress, or of the first rejected
+    /// write.
     Blocked { since: Instant },
-    /// No response can be delivered any more.
+    /// No further response can be delivered.
     Failed,
 }
 
 impl OutputState {
-    /// The socket has accepted everything.
+    /// Records that the socket accepted all bytes.
     pub(super) fn accepted_everything(&mut self) {
         if !self.has_failed() {
             *self = OutputState::Writable;
         }
     }
 
-    /// The socket has accepted a part. The client reads, if slowly, so that its time begins anew.
+    /// Records that the socket accepted some bytes. The client is reading, if slowly, so the stall
+    /// timeout restarts.
     pub(super) fn accepted_part(&mut self) {
         if !self.has_failed() {
             *self = OutputState::Blocked {
@@ -254,7 +258,8 @@
         }
     }
 
-    /// Some bytes wait for the socket. The time of a client that has not read before goes on.
+    /// Records that bytes are waiting for the socket. Does not restart the stall timeout of a blocked
+    /// output.
     pub(super) fn blocked(&mut self) {
         if matches!(self, OutputState::Writable) {
             *self = OutputState::Blocked {
@@ -263,19 +268,20 @@
         }
     }
 
-    /// The socket is broken, the client has left too much unread or nothing read for too long, or it has disconnected
-    /// before a request in its order. Responses leave in the order of their requests, so that none can be left out: the
-    /// connection cannot go on.
+    /// Marks the output as failed.
+    ///
+    /// Reasons are a broken socket, too many unread bytes, a client that read nothing for too long, and a
+    /// disconnect before a pipelined request was processed. Responses are sent in request order and none
+    /// can be skipped, so the connection cannot continue.
     pub(super) fn fail(&mut self) {
         *self = OutputState::Failed;
     }
 
-    /// Whether no response can be delivered any more.
     pub(super) fn has_failed(self) -> bool {
         matches!(self, OutputState::Failed)
     }
 
-    /// Whether the socket has accepted nothing for longer than `limit`.
+    /// Whether the socket has accepted no bytes for longer than `limit`.
     pub(super) fn is_stalled(self, now: Instant, limit: Duration) -> bool {
         matches!(self, OutputState::Blocked { since } if now.saturating_duration_since(since) > limit)
     }
--- a/src/gateway/clients/connections.rs
+++ b/src/gateway/clients/connections.rs
@@ -1,4 +1,4 @@
-//! The table of all client connections: its size, the eviction of idle connections, and their expiry.
+//! Table of all client connections: its size limit, eviction of idle connections, and timeouts.
 
 use super::connection::ClientConnection;
 use super::connection_state::CloseWhen;
@@ -14,27 +14,27 @@
 
 pub use super::connection::REQUEST_TIMEOUT;
 
-/// A connection may pause this long between commands.
+/// Idle timeout between commands while at most half of the table is in use.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The same while more than half of the table is in use.
+/// Idle timeout between commands while more than half of the table is in use.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often the timeouts are checked.
+/// Interval between timeout checks.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The table of all client connections.
+/// The table of all client connections. It bounds their number and their memory.
 pub struct ClientConnections {
     table: RefCell<HashMap<RequestId, Rc<ClientConnection>>>,
     max_connections: usize,
     closed: Notify,
-    /// Whether all connections are being closed, and new ones are to be closed as well.
+    /// Whether all connections are being closed, including newly accepted ones.
     is_closing: Cell<bool>,
     input_budget: MemoryBudget,
     response_budget: MemoryBudget,
 }
 
 impl ClientConnections {
-    /// Creates an empty table. `memory` limits the bytes of partial commands that all connections together hold, and
-    /// as well the bytes of responses that clients do not read.
+    /// Creates an empty table. `memory` is a limit in bytes that applies twice: to the partial commands
+    /// of all connections, and to the response bytes that clients have not read.
     #[must_use]
     pub fn new(max_connections: usize, memory: usize) -> Rc<ClientConnections> {
         Rc::new(ClientConnections {
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Applies the timeouts of all connections periodically, until the future is dropped.
+    /// Checks the timeouts of all connections periodically, until the future is dropped.
     pub async fn run_expiry(self: Rc<Self>) {
         loop {
             sleep(EXPIRY_INTERVAL).await;
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Applies the timeouts of all connections.
+    /// Closes connections that have exceeded a timeout at `now`. The idle timeout is shorter while more
+    /// than half of the table is in use.
     pub fn expire(&self, now: Instant) {
         let table = self.table.borrow();
         let idle_timeout = if table.len() > self.max_connections / 2 {
@@ -68,19 +69,18 @@
         }
     }
 
-    /// Whether there is no connection.
+    /// Whether no client is connected.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
 
-    /// Whether there is no place for another connection.
     pub(super) fn is_full(&self) -> bool {
         self.table.borrow().len() >= self.max_connections
     }
 
-    /// The number of connections whose client has disconnected, as far as their sockets know, and that are not
-    /// removed yet.
+    /// Number of connections whose client has disconnected according to the socket, but which are still
+    /// in the table.
     #[must_use]
     pub fn disconnected_count(&self) -> usize {
         self.table
@@ -90,22 +90,23 @@
             .count()
     }
 
-    /// Waits until a connection is removed.
+    /// Waits until a connection is removed from the table.
     pub async fn connection_closed(&self) {
         self.closed.notified().await;
     }
 
-    /// Closes all connections, and those that are accepted from now on, each as soon as its requests are answered and
-    /// it holds no part of a command.
+    /// Closes all current and future connections, each as soon as its requests are answered and it holds
+    /// no partial command.
     pub fn close_soon(&self) {
         self.is_closing.set(true);
         for connection in self.table.borrow().values() {
-            connection.close_when(CloseWhen::NoCommandPartial);
+            connection.request_close(CloseWhen::NoPartialCommand);
         }
     }
 
-    /// Closes the connection that has been idle for the longest. Where connections without any command hold more than
-    /// half of the table, these go first. Fewer of them may be pools that clients open in advance.
+    /// Closes the connection that has been idle longest. If connections that never sent a command occupy
+    /// more than half of the table, they are evicted first. A smaller number may be connection pools that
+    /// clients opened in advance.
     pub(super) fn evict_idle(&self) {
         let table = self.table.borrow();
         let without_command = table
@@ -117,20 +118,19 @@
             .values()
             .filter(|connection| !connection.is_closing() && connection.is_idle())
             .min_by_key(|connection| {
-                let is_spared = is_flood && connection.has_sent_command();
-                (is_spared, connection.last_active())
+                let is_protected = is_flood && connection.has_sent_command();
+                (is_protected, connection.last_active())
             });
         if let Some(connection) = longest_idle {
-            connection.close_when(CloseWhen::NoRequestPending);
+            connection.request_close(CloseWhen::NoPendingRequest);
         }
     }
 
-    /// Adds an accepted connection to the table.
     pub(super) fn register(self: &Rc<Self>, id: RequestId, stream: TcpStream) -> Registration {
-        let close = self.is_closing.get().then_some(CloseWhen::NoCommandPartial);
+        let close_condition = self.is_closing.get().then_some(CloseWhen::NoPartialCommand);
         let connection = Rc::new(ClientConnection::new(
             stream,
-            close,
+            close_condition,
             self.input_budget.reservation(),
             self.response_budget.reservation(),
         ));
@@ -143,7 +143,8 @@
     }
 }
 
-/// A connection's entry in the table. Dropping it removes the entry and wakes those that wait for a free place.
+/// Entry of a connection in the table. Dropping it removes the connection and wakes tasks that wait for a
+/// free entry.
 pub(super) struct Registration {
     connections: Rc<ClientConnections>,
     id: RequestId,
--- a/src/gateway/clients/fields.rs
+++ b/src/gateway/clients/fields.rs
@@ -6,17 +6,17 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The longest deadline that a client may set, in milliseconds.
+/// Upper limit for client deadlines, in milliseconds.
 const MAX_DEADLINE_MS: u32 = 60_000;
 
-/// The client's deadline, and where its digits lie in the fields.
+/// The client's deadline, with the position of its digits in the field list.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Deadline {
-    pub(super) wait: Duration,
+    pub(super) timeout: Duration,
     pub(super) digits: Range<usize>,
 }
 
-/// The fields that have been read so far. Fields with other names are ignored.
+/// The fields parsed so far. Unknown fields are ignored.
 #[derive(Debug, Default)]
 pub(super) struct RequestFields {
     class: Option<ClassIndex>,
@@ -25,14 +25,14 @@
     cost: Option<Tokens>,
     shard_start: Option<u32>,
     shard_size: Option<u32>,
-    /// Whether an idempotency key is given.
+    /// Whether the request has an idempotency key.
     pub(super) has_key: bool,
     /// Whether the client marks the request as a retry.
     pub(super) is_retry: bool,
 }
 
 impl RequestFields {
-    /// Parses a list of `name=value` pairs with commas between them.
+    /// Parses a comma-separated list of `name=value` pairs.
     pub(super) fn parse(text: &str, schema: &RequestSchema) -> Result<RequestFields, RequestError> {
         let mut fields = RequestFields::default();
         let mut start = 0;
@@ -46,7 +46,8 @@
         Ok(fields)
     }
 
-    /// Validates a value before it is checked whether the field is repeated.
+    /// Parses and stores the value of a known field. An invalid value is reported in preference to a
+    /// repeated field.
     fn set(
         &mut self,
         name: &str,
@@ -94,32 +95,26 @@
         Ok(())
     }
 
-    /// The index of the class.
     pub(super) fn class(&self) -> Result<ClassIndex, RequestError> {
         required(self.class, Field::Class)
     }
 
-    /// The index of the plan.
     pub(super) fn plan(&self) -> Result<PlanIndex, RequestError> {
         required(self.plan, Field::Plan)
     }
 
-    /// The client's deadline.
     pub(super) fn deadline(&self) -> Result<Deadline, RequestError> {
         required(self.deadline.clone(), Field::Deadline)
     }
 
-    /// The cost in tokens.
     pub(super) fn cost(&self) -> Result<Tokens, RequestError> {
         required(self.cost, Field::Cost)
     }
 
-    /// The first gateway of the tenant's shard.
     pub(super) fn shard_start(&self) -> Result<u32, RequestError> {
         required(self.shard_start, Field::ShardStart)
     }
 
-    /// The number of gateways in the tenant's shard.
     pub(super) fn shard_size(&self) -> Result<u32, RequestError> {
         required(self.shard_size, Field::ShardSize)
     }
@@ -129,7 +124,7 @@
     value.ok_or(RequestError::MissingField(field))
 }
 
-/// Stores the value of a field. `None` stands for an invalid value.
+/// Stores the value of a field. `None` represents an invalid value.
 fn set_once<T>(target: &mut Option<T>, value: Option<T>, field: Field) -> Result<(), RequestError> {
     let value = value.ok_or(RequestError::InvalidField(field))?;
     match target.replace(value) {
@@ -140,8 +135,8 @@
 
 fn parse_deadline(value: &str, digits: Range<usize>) -> Option<Deadline> {
     let milliseconds = parse_integer(value).filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms))?;
-    let wait = Duration::from_millis(milliseconds.into());
-    Some(Deadline { wait, digits })
+    let timeout = Duration::from_millis(milliseconds.into());
+    Some(Deadline { timeout, digits })
 }
 
 fn parse_cost(value: &str, max_cost: Tokens) -> Option<Tokens> {
@@ -149,7 +144,7 @@
     (cost > Tokens::ZERO && cost <= max_cost).then_some(cost)
 }
 
-/// Parses a number of digits alone: the standard parser would also accept a plus sign.
+/// Parses an unsigned decimal number. Unlike `str::parse`, rejects a leading plus sign.
 fn parse_integer(value: &str) -> Option<u32> {
     value
         .parse()
--- a/src/gateway/clients/listener.rs
+++ b/src/gateway/clients/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting client connections, in service and during the shutdown.
+//! Accepts client connections while the gateway serves and drains the accept backlog at shutdown.
 
 use super::connections::{ClientConnections, Registration};
 use super::schema::RequestSchema;
@@ -12,14 +12,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// While the table is full and no connection closes, eviction is attempted again after this time.
+/// Delay before the next eviction attempt while the connection table stays full.
 const FULL_TABLE_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// After an error of the listening socket, accepting is attempted again after this time.
+/// Delay before the next `accept` after an error on the listening socket.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts client connections and starts a task for each.
+/// Accepts client connections and spawns a task for each.
 ///
-/// Needs a `LocalSet` around it.
+/// Must run inside a `LocalSet`.
 pub struct ClientListener {
     connections: Rc<ClientConnections>,
     events: Rc<dyn ClientEventHandler>,
@@ -27,7 +27,8 @@
 }
 
 impl ClientListener {
-    /// Creates a listener that registers connections in a table and reports their requests to a handler.
+    /// Creates a listener that registers connections in `connections` and reports their requests to
+    /// `events`.
     #[must_use]
     pub fn new(
         connections: Rc<ClientConnections>,
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Accepts connections until the future is dropped.
+    /// Accepts connections until the future is dropped. Evicts an idle connection when the table is full
+    /// or the listening socket returns an error.
     pub async fn accept(&self, socket: &TcpListener) {
         let mut is_failing = false;
         loop {
@@ -55,12 +57,13 @@
                     self.start(stream);
                 }
                 Err(error) => {
-                    // One line for each series of errors.
+                    // Logs only the first error of a series.
                     if !is_failing {
                         log::event(&LogEvent::AcceptFailed { error: &error });
                     }
                     is_failing = true;
-                    // Most likely the process is out of descriptors: closing a connection frees one.
+                    // The most likely cause is a lack of file descriptors. Closing a connection frees
+                    // one.
                     self.connections.evict_idle();
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
@@ -68,10 +71,12 @@
         }
     }
 
-    /// Accepts the connections that the kernel has established already, each as soon as there is capacity, and closes
-    /// the socket once none is left. Closing it earlier would reset them, and their requests count as received.
+    /// Accepts the connections that the kernel has already established, each as soon as the table has
+    /// room, then closes the socket. Closing the socket earlier would reset these connections, and their
+    /// requests count as received.
     pub async fn drain_backlog(&self, socket: TcpListener) {
-        // The runtime may not have polled the socket since the last of them arrived, so the socket itself is asked.
+        // The runtime may not have polled the socket since the last connection arrived, so `accept` is
+        // called on the socket directly.
         let Ok(socket) = socket.into_std() else {
             return;
         };
@@ -92,13 +97,12 @@
         }
     }
 
-    /// Waits until a connection closes. The wait is limited, because a connection can also fall idle, and so become
-    /// a candidate for eviction.
+    /// Waits until a connection closes or `FULL_TABLE_RETRY_DELAY` elapses. The wait is bounded because a
+    /// connection can become idle, and so evictable, without any connection closing.
     async fn wait_for_capacity(&self) {
         let _ = timeout(FULL_TABLE_RETRY_DELAY, self.connections.connection_closed()).await;
     }
 
-    /// Registers a connection and starts its task.
     fn start(&self, stream: TcpStream) {
         let registration = self.connections.register(self.events.next_id(), stream);
         let task = ConnectionTask::new(
@@ -114,7 +118,7 @@
     }
 }
 
-/// Reports the requests that were not answered, and then removes the connection from the table.
+/// Reports the unanswered requests as disconnected, then removes the connection from the table.
 fn disconnect(registration: Registration, events: &dyn ClientEventHandler) {
     for request in registration.connection.take_unanswered() {
         events.handle_client_event(ClientEvent::Disconnected { request });
--- a/src/gateway/clients/mod.rs
+++ b/src/gateway/clients/mod.rs
@@ -1,11 +1,12 @@
-//! The client side of the gateway: connections that carry pipelined commands, and responses in their order.
+//! The client side of the gateway: connections with pipelined commands and responses in request order.
 //!
-//! A [`ClientListener`] accepts connections and registers them in [`ClientConnections`], the table that bounds their
-//! number and closes idle ones. A task for each connection parses commands and reports every valid request to a
-//! [`ClientEventHandler`], which answers it through [`ClientConnection::answer`], during the call or at any time
-//! later. Responses leave in the order of their requests, whatever the order in which they are given.
+//! A [`ClientListener`] accepts connections and registers them in [`ClientConnections`], a table that
+//! bounds the number of connections and closes idle ones. One task per connection parses commands and
+//! reports each valid request to a [`ClientEventHandler`]. The handler answers it through
+//! [`ClientConnection::answer`], either during the call or later. Responses are sent in request order,
+//! regardless of the order in which they become available.
 //!
-//! The modules here know nothing of who handles the requests: they depend on the trait alone.
+//! This module depends only on the trait and not on the code that handles the requests.
 
 mod connection;
 mod connection_error;
@@ -32,37 +33,37 @@
 
 /// Handles the requests of all client connections.
 ///
-/// All calls are synchronous, on the thread that serves the connections. A handler may call
-/// [`ClientConnection::answer`] while it handles an event; a connection never calls its handler from there.
+/// All calls are synchronous and run on the thread that serves the connections. A handler may call
+/// [`ClientConnection::answer`] while it handles an event. `answer` never calls back into the handler.
 pub trait ClientEventHandler {
-    /// Returns an id that was never returned before. The ids that clients choose may come again.
+    /// Returns a new unique id. Client-chosen ids cannot be used instead, because clients may reuse them.
     fn next_id(&self) -> RequestId;
 
-    /// Whether a request with this client-chosen id is active, or an attempt of it still is: a second request with
-    /// the id would reach an endpoint as a duplicate of the first.
+    /// Whether a request with this client-chosen id is unanswered or still has a running attempt. An
+    /// endpoint would treat a second request with the same id as a duplicate of the first.
     fn is_active(&self, client_request_id: u64) -> bool;
 
-    /// Whether one more request of this size can be handled. It is rejected as overloaded otherwise.
+    /// Whether another request of this size can be handled. If not, it is rejected with `-BUSY`.
     fn has_capacity_for(&self, bytes: usize) -> bool;
 
-    /// Handles an event.
+    /// Handles a received request or a disconnect.
     fn handle_client_event(&self, event: ClientEvent);
 }
 
-/// What happens at client connections.
+/// An event on a client connection.
 pub enum ClientEvent {
-    /// A valid request was received. The connection expects exactly one answer to it.
+    /// A valid request was received. The connection expects exactly one response to it.
     RequestReceived {
-        /// The id under which the connection expects the answer.
+        /// The id to pass to [`ClientConnection::answer`].
         request: RequestId,
-        /// The request.
+        /// The validated request.
         command: ClientRequest,
-        /// The connection to answer on.
+        /// The connection that receives the response.
         connection: Rc<ClientConnection>,
     },
-    /// The connection of an unanswered request has closed.
+    /// The connection closed before this request was answered.
     Disconnected {
-        /// The id of the request.
+        /// The id that [`RequestReceived`](Self::RequestReceived) reported.
         request: RequestId,
     },
 }
--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -1,4 +1,4 @@
-//! Requests: their validation, and their encoding for an endpoint.
+//! Validation of client requests and their encoding for endpoints.
 
 use super::fields::RequestFields;
 use super::request_error::{Field, RequestError};
@@ -8,45 +8,45 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The command for requests of idempotent classes.
+/// Command name for idempotent classes.
 const IDEMPOTENT_COMMAND: &[u8] = b"Q.ASK";
-/// The command for requests of all other classes.
-const EFFECT_COMMAND: &[u8] = b"Q.DO";
+/// Command name for all other classes.
+const NON_IDEMPOTENT_COMMAND: &[u8] = b"Q.DO";
 
-/// Parts of a request: name, tenant, request id, fields, and for some requests a body.
+/// Positions of the parts of a request command: name, tenant key, request id, fields and, optionally, a
+/// body.
 const TENANT_PART: usize = 1;
 const ID_PART: usize = 2;
 const FIELDS_PART: usize = 3;
 const MIN_PARTS: usize = FIELDS_PART + 1;
 
-/// The digits of tenants and request ids.
+/// Number of digits in a tenant key or request id.
 const HEX_DIGITS: usize = 16;
-/// Tenants are numbers of 33 bits.
+/// Tenant keys are 33-bit numbers.
 const TENANT_LIMIT: u64 = 1 << 33;
-/// The shortest wait that is sent to an endpoint, in milliseconds.
-const MIN_WAIT_MS: u64 = 1;
-/// The bytes of CR LF.
+/// The shortest timeout that is sent to an endpoint, in milliseconds.
+const MIN_TIMEOUT_MS: u64 = 1;
+/// Length of CR LF.
 const TERMINATOR_LEN: usize = 2;
 
-/// A valid request, as the client wrote it.
+/// A validated request, with the original bytes of its command.
 pub struct ClientRequest {
-    /// The bytes of the whole command.
     command: Box<[u8]>,
-    /// Where the header of the field list begins in the command: the line with its length.
+    /// Start of the field list's bulk string header (`$` and its length) in `command`.
     fields_header: usize,
-    /// Where the field list lies in the command.
+    /// Position of the field list in `command`.
     fields: Range<usize>,
-    /// Where the digits of the client's deadline lie in the command.
+    /// Position of the deadline's digits in `command`.
     deadline_digits: Range<usize>,
-    /// The tenant, as the client wrote it.
+    /// The tenant key, as the client wrote it.
     pub tenant: EndpointName,
-    /// The id that the client chose. It is unique among the active requests only.
+    /// The id chosen by the client. It is unique only among active requests.
     pub client_request_id: u64,
     /// The index of the class in the settings.
     pub class: ClassIndex,
     /// The index of the tenant's plan in the settings.
     pub plan: PlanIndex,
-    /// The cost in tokens.
+    /// The cost declared by the client, in tokens.
     pub cost: Tokens,
     /// The first gateway of the tenant's shard.
     pub shard_start: u32,
@@ -54,20 +54,22 @@
     pub shard_size: u32,
     /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// How long the client waits for the answer.
-    pub wait: Duration,
+    /// How long the client waits for the response, limited by the deadline of the class.
+    pub timeout: Duration,
 }
 
 impl ClientRequest {
-    /// Whether a command name is that of a request.
+    /// Whether a command with this name is a request.
     pub(super) fn is_request(name: &[u8]) -> bool {
-        name == IDEMPOTENT_COMMAND || name == EFFECT_COMMAND
+        name == IDEMPOTENT_COMMAND || name == NON_IDEMPOTENT_COMMAND
     }
 
-    /// Validates a command as a request. `is_active` returns whether an active request has an id.
+    /// Validates a request command. `is_active` tells whether a client-chosen id belongs to an active
+    /// request.
     ///
     /// # Errors
-    /// When the command is not a valid request. The first error in the order of the command is reported.
+    /// Returns the first error, in the order of the command's parts, if the command is not a valid
+    /// request.
     pub(super) fn parse(
         command: &Command,
         schema: &RequestSchema,
@@ -86,8 +88,8 @@
         let deadline = fields.deadline()?;
         let fields_range = command.part_range(FIELDS_PART);
         let fields_start = fields_range.start;
-        // Past the deadline of its class no answer is of use, however long the client would wait.
-        let max_wait = schema.class(class).deadline.unwrap_or(Duration::MAX);
+        // A response after the class deadline is useless, even if the client would wait longer.
+        let max_timeout = schema.class(class).deadline.unwrap_or(Duration::MAX);
         Ok(ClientRequest {
             command: command.bytes().into(),
             fields_header: command.part_range(ID_PART).end + TERMINATOR_LEN,
@@ -102,22 +104,22 @@
             shard_start: fields.shard_start()?,
             shard_size: fields.shard_size()?,
             is_retry: fields.is_retry,
-            wait: deadline.wait.min(max_wait),
+            timeout: deadline.timeout.min(max_timeout),
         })
     }
 
-    /// The bytes that the request occupies in memory.
+    /// Size of the command in bytes, which counts towards the memory budget.
     #[must_use]
     pub fn command_len(&self) -> usize {
         self.command.len()
     }
 
-    /// Appends the command for an endpoint: unchanged but for the deadline, which says for how many milliseconds the
-    /// gateway waits, and is at least one.
-    pub fn encode_for_endpoint(&self, wait: Duration, out: &mut Vec<u8>) {
-        let wait_ms = wait.as_millis() as u64;
+    /// Appends the command for an endpoint. It equals the client's command except for the deadline, which
+    /// is replaced by `timeout` in whole milliseconds, at least one.
+    pub fn encode_for_endpoint(&self, timeout: Duration, out: &mut Vec<u8>) {
+        let timeout_ms = timeout.as_millis() as u64;
         let mut digits = Vec::with_capacity(20);
-        resp::put_digits(&mut digits, wait_ms.max(MIN_WAIT_MS));
+        resp::put_digits(&mut digits, timeout_ms.max(MIN_TIMEOUT_MS));
         let fields_len = self.fields.len() - self.deadline_digits.len() + digits.len();
         out.extend_from_slice(&self.command[..self.fields_header]);
         resp::put_number(out, b'$', fields_len);
@@ -127,7 +129,7 @@
     }
 }
 
-/// Checks what a class demands of the command and its fields.
+/// Checks that the command and the idempotency key match the idempotency of the class.
 fn check_class(
     command: &Command,
     fields: &RequestFields,
@@ -149,7 +151,7 @@
         .ok_or(RequestError::InvalidTenant)
 }
 
-/// The id that the client chose, which no active request may have.
+/// Parses the client-chosen id and rejects one that is in use by an active request.
 fn parse_unused_id<'a>(
     command: &'a Command,
     is_active: impl FnOnce(u64) -> bool,
@@ -161,7 +163,7 @@
     Ok(id)
 }
 
-/// A number in hexadecimal digits.
+/// A hexadecimal number, with its text.
 struct HexNumber<'a> {
     text: &'a str,
     number: u64,
--- a/src/gateway/clients/request_error.rs
+++ b/src/gateway/clients/request_error.rs
@@ -1,50 +1,52 @@
-//! Reasons to reject a request as invalid.
+//! Validation errors of client requests.
 
 use std::fmt;
 use thiserror::Error;
 
-/// Why a command is not a valid request. The connection stays open.
+/// Reason why a command is not a valid request. The connection stays open.
 ///
-/// The text is part of the wire protocol: the client reads it behind `-ERR `.
+/// The text of each variant is part of the wire protocol. The client receives it after the prefix `-ERR
+/// `.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The command has too few or too many parts.
     #[error("wrong number of arguments")]
     WrongArgumentCount,
-    /// The tenant is not a number of 33 bits in 16 hexadecimal digits.
+    /// The tenant key is not a 33-bit number written as 16 hexadecimal digits.
     #[error("bad customer")]
     InvalidTenant,
-    /// The request id is not a number in 16 hexadecimal digits.
+    /// The request id is not a number written as 16 hexadecimal digits.
     #[error("bad id")]
     InvalidId,
-    /// A request with this id is active.
+    /// Another request with the same id is active.
     #[error("this id is open already")]
     DuplicateId,
-    /// The fields are not a list of names and values.
+    /// The field list is not UTF-8 text of the form `name=value,name=value`.
     #[error("bad fields")]
     InvalidFields,
-    /// The value of a field is invalid.
+    /// A field has an invalid value.
     #[error("bad {0}")]
     InvalidField(Field),
-    /// A field is given more than once.
+    /// A field occurs more than once.
     #[error("a field stands twice")]
     RepeatedField,
-    /// A required field is not given.
+    /// A required field is missing.
     #[error("missing {0}")]
     MissingField(Field),
-    /// Idempotent classes are requested by one command and all others by another.
+    /// The command does not match the idempotency of the class: `Q.ASK` is for idempotent classes and
+    /// `Q.DO` for all others.
     #[error("not the command of this class")]
     WrongCommandForClass,
 }
 
-/// A field of a request. It is displayed by its name on the wire.
+/// A request field. `Display` writes its name on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Field {
     /// The class of the request.
     Class,
     /// The tenant's plan.
     Plan,
-    /// The client's deadline.
+    /// The client's deadline, in milliseconds.
     Deadline,
     /// The cost in tokens.
     Cost,
--- a/src/gateway/clients/responses.rs
+++ b/src/gateway/clients/responses.rs
@@ -1,4 +1,4 @@
-//! The responses of one connection: their order, and the bytes that the socket has not accepted yet.
+//! Response queue of one connection: puts responses into request order and buffers unsent bytes.
 
 use super::connection_state::OutputState;
 use super::socket::ClientSocket;
@@ -7,27 +7,28 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// A connection whose client does not read this many bytes of responses is closed.
+/// Limit on unread response bytes. A connection that exceeds it is closed.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
 
-/// A response in the order of its connection.
+/// An entry of the response queue.
 enum OrderedResponse {
-    /// The request has no response yet.
+    /// The request has not been answered yet.
     Pending(RequestId),
-    /// The response waits for an earlier one.
+    /// The response is complete and waits for an earlier one.
     Ready(Vec<u8>),
 }
 
-/// The responses of one connection, given in any order and written in the order of the requests.
+/// The responses of one connection. They may become available in any order and are written in request
+/// order.
 pub(super) struct Responses {
     queue: VecDeque<OrderedResponse>,
     /// Bytes that the socket has not accepted yet.
     unsent: Vec<u8>,
-    /// Bytes of responses that wait for an earlier one.
+    /// Total size of the [`OrderedResponse::Ready`] entries.
     ready_bytes: usize,
     state: OutputState,
     memory: MemoryReservation,
-    /// Bytes that are allowed also while the memory budget of all connections is exhausted.
+    /// Bytes that may be buffered even if the shared memory budget is exhausted.
     always_allowed: usize,
 }
 
@@ -43,42 +44,40 @@
         }
     }
 
-    /// The number of responses that are pending, or wait for a pending one.
+    /// Number of queued responses: pending ones, and complete ones behind a pending one.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether every response was given and accepted by the socket.
+    /// Whether all requests are answered and the socket has accepted all responses.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.unsent.is_empty()
     }
 
-    /// Whether some bytes wait for the socket to accept them.
     pub(super) fn has_unsent(&self) -> bool {
         !self.unsent.is_empty()
     }
 
-    /// Whether no response can be delivered any more.
     pub(super) fn has_failed(&self) -> bool {
         self.state.has_failed()
     }
 
-    /// Whether the socket has accepted nothing for longer than `limit`.
+    /// Whether the socket has accepted no bytes for longer than `limit`.
     pub(super) fn is_stalled(&self, now: Instant, limit: Duration) -> bool {
         self.state.is_stalled(now, limit)
     }
 
-    /// Gives up all responses: nothing more is written.
+    /// Discards all responses. Nothing more is written.
     pub(super) fn fail(&mut self) {
         self.state.fail();
     }
 
-    /// Expects the response to a request, behind all that were expected before.
-    pub(super) fn expect(&mut self, request: RequestId) {
+    /// Appends a pending entry for a request to the queue.
+    pub(super) fn push_pending(&mut self, request: RequestId) {
         self.queue.push_back(OrderedResponse::Pending(request));
     }
 
-    /// Gives the response to a request. Nothing happens if none is pending.
+    /// Sets the response to a pending request. Does nothing if the request is not pending.
     pub(super) fn complete(&mut self, request: RequestId, response: &[u8], socket: &ClientSocket) {
         if matches!(self.queue.front(), Some(OrderedResponse::Pending(first)) if *first == request)
         {
@@ -96,8 +95,8 @@
         self.enforce_limits();
     }
 
-    /// Adds a response that is known at once, behind all that were expected before.
-    pub(super) fn push(&mut self, response: &[u8], socket: &ClientSocket) {
+    /// Appends a response that is already available.
+    pub(super) fn push_ready(&mut self, response: &[u8], socket: &ClientSocket) {
         if self.queue.is_empty() {
             self.write(response, socket);
         } else {
@@ -108,7 +107,7 @@
         self.enforce_limits();
     }
 
-    /// Writes what the socket has not accepted before.
+    /// Writes unsent bytes until the socket would block.
     pub(super) fn flush(&mut self, socket: &ClientSocket) {
         match socket.write(&self.unsent) {
             Ok(0) => {}
@@ -126,7 +125,7 @@
             .set(self.unsent.len() + self.ready_bytes, self.always_allowed);
     }
 
-    /// Stops expecting responses, and returns the requests that have no response.
+    /// Clears the queue and returns the requests that were not answered.
     pub(super) fn take_pending(&mut self) -> impl Iterator<Item = RequestId> + use<> {
         std::mem::take(&mut self.queue)
             .into_iter()
@@ -136,7 +135,7 @@
             })
     }
 
-    /// Writes the responses that waited for the first one, in one call.
+    /// Writes all ready responses at the head of the queue with one call.
     fn write_ready(&mut self, socket: &ClientSocket) {
         let mut bytes = Vec::new();
         while matches!(self.queue.front(), Some(OrderedResponse::Ready(_)))
@@ -150,7 +149,7 @@
         }
     }
 
-    /// Writes bytes to the socket. The connection's task writes what is not accepted.
+    /// Writes bytes to the socket. Bytes that it does not accept are buffered for the connection task.
     fn write(&mut self, bytes: &[u8], socket: &ClientSocket) {
         let accepted = if self.unsent.is_empty() && !self.has_failed() {
             socket.write(bytes).unwrap_or_else(|_| {
@@ -166,7 +165,8 @@
         }
     }
 
-    /// Fails the connection of a client that sends requests and never reads: it must not fill the memory.
+    /// Fails the connection if its unread responses exceed a limit, so a client that sends requests and
+    /// never reads cannot exhaust the memory.
     fn enforce_limits(&mut self) {
         let unread = self.unsent.len() + self.ready_bytes;
         let within_budget = self.memory.set(unread, self.always_allowed);
--- a/src/gateway/clients/schema.rs
+++ b/src/gateway/clients/schema.rs
@@ -1,10 +1,11 @@
-//! What a request is validated against.
+//! The schema that requests are validated against.
 
 use crate::gateway::engine_time::to_duration;
 use crate::{ClassIndex, IdempotencyDocument, Milliseconds, PlanIndex, SettingsDocument, Tokens};
 use std::time::Duration;
 
-/// The names and limits that the settings define for requests. Classes and plans are known by their index.
+/// Names and limits from the settings for validating requests. Classes and plans are identified by their
+/// index.
 #[derive(Debug, Clone)]
 pub struct RequestSchema {
     classes: Vec<ClassSchema>,
@@ -13,12 +14,12 @@
     max_cost: Tokens,
 }
 
-/// What the settings define for the requests of a class.
+/// Settings of one class that apply to its requests.
 #[derive(Debug, Clone)]
 pub(super) struct ClassSchema {
     name: String,
     pub(super) idempotency: IdempotencyDocument,
-    /// No client of this class waits longer; `None` where the class sets no deadline.
+    /// Upper limit for client deadlines in this class; `None` if the class has no deadline.
     pub(super) deadline: Option<Duration>,
 }
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The index of a class.
+    /// Looks up the index of a class by name.
     pub(super) fn class_index(&self, name: &str) -> Option<ClassIndex> {
         self.classes
             .iter()
@@ -52,12 +53,11 @@
             .map(ClassIndex)
     }
 
-    /// A class by its index.
     pub(super) fn class(&self, index: ClassIndex) -> &ClassSchema {
         &self.classes[index.0]
     }
 
-    /// The index of a plan.
+    /// Looks up the index of a plan by name.
     pub(super) fn plan_index(&self, name: &str) -> Option<PlanIndex> {
         self.plan_names
             .iter()
@@ -65,12 +65,10 @@
             .map(PlanIndex)
     }
 
-    /// The number of gateways in the fleet.
     pub(super) fn gateway_count(&self) -> u32 {
         self.gateway_count
     }
 
-    /// The largest cost that a request may have, in tokens.
     pub(super) fn max_cost(&self) -> Tokens {
         self.max_cost
     }
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -1,8 +1,9 @@
-//! The task of one connection: it reads commands, starts them and writes what the socket did not accept at once.
+//! The connection task: reads and dispatches commands, and writes output that the socket did not accept
+//! at once.
 
 use super::connection::{ALWAYS_ALLOWED_BYTES, ClientConnection};
 use super::connection_error::ConnectionError;
-use super::connection_state::{Awaited, ConnectionStep};
+use super::connection_state::{AwaitedEvent, ConnectionStep};
 use super::request::ClientRequest;
 use super::schema::RequestSchema;
 use super::{ClientEvent, ClientEventHandler};
@@ -13,30 +14,32 @@
 use tokio::task::yield_now;
 use tokio::time::timeout;
 
-/// Requests of one connection that are active at once. More stay in the socket.
+/// Limit on concurrent requests of one connection. Further commands stay unread in the socket.
 const MAX_PIPELINED: usize = 128;
-/// Commands that are started before other tasks run, and before it is checked again whether the client has
-/// disconnected: the choice among hundreds of endpoints takes a good part of a millisecond on a slow core.
+/// Limit on commands that are dispatched before the task yields and checks again whether the client has
+/// disconnected. Selecting one of several hundred endpoints takes a good part of a millisecond on a slow
+/// core.
 const MAX_COMMANDS_PER_TURN: usize = 16;
-/// After an error response the client is given this long to read it: closing over unread input would discard it.
+/// Time that a client has to read an error response. Closing a socket with unread input would discard the
+/// response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The task of one connection.
 pub(super) struct ConnectionTask {
     connection: Rc<ClientConnection>,
     events: Rc<dyn ClientEventHandler>,
     schema: Rc<RequestSchema>,
-    /// Input that is not consumed yet.
+    /// Received input that is not consumed yet.
     received: Vec<u8>,
-    /// Whether the socket was just read, so that a disconnected client is known to be.
-    just_read: bool,
+    /// Whether the socket has been read since the last batch of commands. Such a read has detected a
+    /// disconnect, so no separate check is needed.
+    read_since_batch: bool,
 }
 
-/// What came of the attempt to start commands.
-enum CommandBatch {
-    /// At least one command was started.
-    Started,
-    /// The input holds no whole command.
+/// Result of dispatching a batch of commands.
+enum DispatchOutcome {
+    /// At least one command was dispatched.
+    Dispatched,
+    /// The input holds no complete command.
     Incomplete,
 }
 
@@ -51,11 +54,11 @@
             events,
             schema,
             received: Vec::new(),
-            just_read: false,
+            read_since_batch: false,
         }
     }
 
-    /// Serves the connection until either side ends it.
+    /// Serves the connection until either side closes it.
     pub(super) async fn run(mut self) {
         if let Err(error) = self.serve().await {
             self.reject(error).await;
@@ -67,21 +70,22 @@
             if self.connection.has_failed() {
                 return Ok(());
             }
-            // Input that arrived while the pipeline was full is consumed once there is capacity again. The client may
-            // have disconnected meanwhile (test
+            // Input that was received while the pipeline was full is processed once the pipeline has
+            // room. The client may have disconnected in the meantime (test
             // `a_command_behind_a_full_pipeline_is_not_started_after_an_unseen_disconnect`).
             if self.has_pipeline_capacity() && !self.received.is_empty() {
-                if !std::mem::take(&mut self.just_read) && self.connection.is_disconnected() {
+                if !std::mem::take(&mut self.read_since_batch) && self.connection.is_disconnected()
+                {
                     return Ok(());
                 }
-                match self.start_commands()? {
-                    CommandBatch::Started => {
+                match self.dispatch_commands()? {
+                    DispatchOutcome::Dispatched => {
                         if !self.received.is_empty() {
                             yield_now().await;
                         }
                         continue;
                     }
-                    CommandBatch::Incomplete => self.connection.partial_command_received(),
+                    DispatchOutcome::Incomplete => self.connection.partial_command_received(),
                 }
             }
             if self.connection.has_input_ended() {
@@ -106,7 +110,8 @@
         self.connection.pending_responses() < MAX_PIPELINED
     }
 
-    /// Waits for something to do. Breaks when the client has disconnected, also while its input is not read (test
+    /// Waits for input, room for output, or a wake-up. Breaks if the client has disconnected, which is
+    /// also detected while no input is read (test
     /// `a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read`).
     async fn wait(&mut self) -> ControlFlow<()> {
         let connection = &self.connection;
@@ -114,10 +119,10 @@
         let accepts_requests = !connection.is_closing() || connection.pending_responses() == 0;
         let reads = self.has_pipeline_capacity() && accepts_requests;
         let has_unsent = connection.has_unsent();
-        connection.set_awaited(if reads {
-            Awaited::Input
+        connection.set_awaited_event(if reads {
+            AwaitedEvent::Input
         } else {
-            Awaited::Answer
+            AwaitedEvent::Response
         });
         tokio::select! {
             () = socket.disconnected(), if !reads => return ControlFlow::Break(()),
@@ -139,29 +144,30 @@
         if self.connection.read(&mut self.received).is_err() {
             return ControlFlow::Break(());
         }
-        self.just_read = true;
+        self.read_since_batch = true;
         if self.received.len() >= ALWAYS_ALLOWED_BYTES {
-            // There may be more. Other connections run first, and the end of this input may be seen meanwhile.
+            // More input may follow. Yielding lets other connections run, and the end of this input may
+            // be detected meanwhile.
             yield_now().await;
         }
         ControlFlow::Continue(())
     }
 
-    /// Starts whole commands of the input, as many as a turn and the pipeline allow. After the turn it is checked again
-    /// whether the client has disconnected (test
+    /// Dispatches complete commands from the input, up to the limits per turn and of the pipeline. The
+    /// caller checks for a disconnect before the next batch (test
     /// `the_rest_of_a_batch_of_commands_is_not_started_after_an_unseen_disconnect`).
-    fn start_commands(&mut self) -> Result<CommandBatch, ProtocolError> {
+    fn dispatch_commands(&mut self) -> Result<DispatchOutcome, ProtocolError> {
         let mut consumed = 0;
-        let mut started = 0;
+        let mut dispatched = 0;
         let result = loop {
-            if started >= MAX_COMMANDS_PER_TURN || !self.has_pipeline_capacity() {
+            if dispatched >= MAX_COMMANDS_PER_TURN || !self.has_pipeline_capacity() {
                 break Ok(());
             }
             match resp::parse_command(&self.received[consumed..]) {
                 Ok(Some(command)) => {
-                    self.start(&command);
+                    self.dispatch(&command);
                     consumed += command.bytes().len();
-                    started += 1;
+                    dispatched += 1;
                 }
                 Ok(None) => break Ok(()),
                 Err(error) => break Err(error),
@@ -170,14 +176,14 @@
         self.consume(consumed);
         result.map(|()| {
             if consumed > 0 {
-                CommandBatch::Started
+                DispatchOutcome::Dispatched
             } else {
-                CommandBatch::Incomplete
+                DispatchOutcome::Incomplete
             }
         })
     }
 
-    /// Removes started commands from the input. A large buffer that is empty now is released.
+    /// Removes dispatched commands from the input. Releases a large buffer once it is empty.
     fn consume(&mut self, consumed: usize) {
         if consumed == self.received.len() && self.received.capacity() > ALWAYS_ALLOWED_BYTES {
             self.received = Vec::new();
@@ -189,10 +195,10 @@
         }
     }
 
-    fn start(&self, command: &Command) {
+    fn dispatch(&self, command: &Command) {
         let name = command.part(0);
         if ClientRequest::is_request(name) {
-            self.start_request(command);
+            self.dispatch_request(command);
         } else if name.eq_ignore_ascii_case(b"PING") {
             self.respond_to_ping(command);
         } else {
@@ -200,9 +206,10 @@
         }
     }
 
-    fn start_request(&self, command: &Command) {
-        if self.connection.has_input_ended() || self.connection.socket().is_input_end_known() {
-            // The client has disconnected. No later command can be answered in its order either (test
+    fn dispatch_request(&self, command: &Command) {
+        if self.connection.has_input_ended() || self.connection.socket().is_read_closed() {
+            // The client has disconnected. Responses are sent in order, so no later command can be
+            // answered either (test
             // `request_that_arrives_together_with_the_disconnect_is_not_forwarded`).
             self.connection.fail();
             return;
@@ -218,9 +225,9 @@
         if !self.events.has_capacity_for(request.command_len()) {
             return self.connection.respond(b"-BUSY\r\n");
         }
-        // The answer may be given while the event is handled, so its place comes first.
+        // The handler may answer during the call, so the place of the response is reserved first.
         let id = self.events.next_id();
-        self.connection.expect_answer(id);
+        self.connection.reserve_response(id);
         self.events
             .handle_client_event(ClientEvent::RequestReceived {
                 request: id,
@@ -238,14 +245,14 @@
         self.connection.respond(&echo);
     }
 
-    /// Responds with an error once all earlier requests are answered, and waits until the client has read it. A client
-    /// that disconnects before gets nothing, and its requests are dropped (test
+    /// Sends a protocol error after the responses to all earlier requests, and waits until the client has
+    /// read it. A client that disconnects earlier gets no response, and its requests are dropped (test
     /// `half_close_behind_malformed_input_drops_the_waiting_request`).
     async fn reject(&self, error: ConnectionError) {
         let connection = &self.connection;
         let socket = connection.socket();
         connection.respond(format!("-ERR protocol error: {error}\r\n").as_bytes());
-        connection.set_awaited(Awaited::Answer);
+        connection.set_awaited_event(AwaitedEvent::Response);
         while !connection.is_idle() && !connection.has_failed() {
             let has_unsent = connection.has_unsent();
             tokio::select! {
@@ -254,7 +261,7 @@
                 () = connection.woken() => {}
             }
         }
-        socket.end_output();
+        socket.shutdown_write();
         let _ = timeout(LINGER_TIMEOUT, socket.discard_input()).await;
     }
 }
--- a/src/gateway/clients/socket.rs
+++ b/src/gateway/clients/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of one connection: reading, writing and noticing that the client has disconnected.
+//! Socket of one client connection: reads, writes, and detection of disconnects.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind};
@@ -7,34 +7,34 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// The least free space in the input buffer for a read.
+/// Free space that is reserved in the input buffer before each read.
 const READ_SIZE: usize = 2048;
-/// The buffer for input that is discarded.
+/// Size of the buffer for discarded input.
 const DISCARD_SIZE: usize = 4096;
 
-/// How far a read came.
+/// Result of a read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     /// More input may follow.
     Open,
-    /// The end of the input was read.
+    /// The client has closed its sending side.
     InputEnded,
 }
 
-/// The socket of one connection.
 pub(super) struct ClientSocket {
     stream: TcpStream,
 }
 
 impl ClientSocket {
     pub(super) fn new(stream: TcpStream) -> ClientSocket {
-        // Small responses must not wait for acknowledgements. A socket that fails here fails at its first read.
+        // Small responses must not wait for acknowledgements. An error here also shows at the first read.
         let _ = stream.set_nodelay(true);
         ClientSocket { stream }
     }
 
-    /// Reads what has arrived. Reading goes on to the end of it while less than `limit` bytes are received, so that a
-    /// client that has disconnected by now is known to have before any of its requests begins.
+    /// Reads the available input, until the socket would block or `received` holds at least `limit`
+    /// bytes. Reading to the end detects a client that has already disconnected before any of its
+    /// requests is processed.
     pub(super) fn read(&self, received: &mut Vec<u8>, limit: usize) -> io::Result<ReadOutcome> {
         loop {
             received.reserve(READ_SIZE);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Writes as many bytes as the socket accepts at once, and returns their number.
+    /// Writes as many bytes as the socket accepts without blocking, and returns their number.
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         match self.stream.try_write(bytes) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(0),
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Ends the output. The client reads the end of the stream behind the last response.
-    pub(super) fn end_output(&self) {
+    /// Shuts down the sending side. The client reads the end of the stream after the last response.
+    pub(super) fn shutdown_write(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
     }
 
-    /// Reads and discards input until the client has disconnected.
+    /// Reads and discards input until the client disconnects.
     pub(super) async fn discard_input(&self) {
         let mut discarded = [0u8; DISCARD_SIZE];
         while self.stream.readable().await.is_ok() {
@@ -76,18 +76,16 @@
         }
     }
 
-    /// Waits until input has arrived.
     pub(super) async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 
-    /// Waits until the socket accepts bytes.
     pub(super) async fn writable(&self) -> io::Result<()> {
         self.stream.writable().await
     }
 
-    /// Waits until the client has disconnected, also while earlier input lies unread. The end of the input counts as
-    /// priority input, and nothing else is reported with that interest.
+    /// Waits until the client disconnects, even while earlier input is still unread. The end of the input
+    /// is reported with `PRIORITY` interest, and no other event is.
     pub(super) async fn disconnected(&self) {
         while self
             .stream
@@ -97,23 +95,26 @@
         {}
     }
 
-    /// Whether the runtime has seen the end of the input, perhaps behind unread bytes.
-    pub(super) fn is_input_end_known(&self) -> bool {
+    /// Whether the runtime has seen the end of the input, possibly after unread bytes.
+    pub(super) fn is_read_closed(&self) -> bool {
         self.stream.try_io(Interest::PRIORITY, || Ok(())).is_ok()
     }
 
-    /// Whether the client has disconnected, as far as is known now. The runtime may not have polled the socket since,
-    /// so the socket itself is asked. Unread bytes before the end hide it there; then the runtime knows of it after
-    /// its next poll.
+    /// Whether the client is known to have disconnected.
+    ///
+    /// Peeks at the socket directly, because the runtime may not have polled it since. A peek does not
+    /// detect an end of input behind unread bytes; that one becomes known at the next poll of the
+    /// runtime.
     pub(super) fn is_disconnected(&self) -> bool {
-        self.is_input_end_known()
+        self.is_read_closed()
             || match self.peek() {
                 Ok(length) => length == 0,
                 Err(error) => error.kind() != ErrorKind::WouldBlock,
             }
     }
 
-    /// Whether unread input has arrived. The socket itself is asked, as in [`is_disconnected`](Self::is_disconnected).
+    /// Whether unread input has arrived. Peeks at the socket directly, as
+    /// [`is_disconnected`](Self::is_disconnected) does.
     pub(super) fn has_unread_input(&self) -> bool {
         self.peek().is_ok_and(|length| length > 0)
     }
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -197,7 +197,7 @@
         client: Rc<ClientConnection>,
     ) {
         let now = Instant::now();
-        let client_deadline = (now + command.wait).checked_sub(CLIENT_DEADLINE_MARGIN);
+        let client_deadline = (now + command.timeout).checked_sub(CLIENT_DEADLINE_MARGIN);
         let deadline = self.phase.limit(client_deadline.unwrap_or(now));
         let request = ProxiedRequest::new(command, client);
         let engine_request = request.to_engine_request(id, self.clock.timestamp(deadline));
--- a/tests/gateway/client_requests.rs
+++ b/tests/gateway/client_requests.rs
@@ -129,7 +129,7 @@
         assert_eq!((request.class, request.plan), (ClassIndex(2), PlanIndex(0)));
         assert_eq!((request.shard_start, request.shard_size), (1, 2));
         assert_eq!(
-            (request.cost, request.wait),
+            (request.cost, request.timeout),
             (Tokens(2.5), Duration::from_millis(700))
         );
         assert!(request.is_retry);
@@ -144,7 +144,7 @@
         send(&mut client, &request(1)).await;
         listener.handler.wait_for_requests(1).await;
         assert_eq!(
-            listener.handler.received.borrow()[0].request.wait,
+            listener.handler.received.borrow()[0].request.timeout,
             Duration::from_millis(800)
         );
     });
