--- a/src/gateway/clients/connection_error.rs
+++ b/src/gateway/clients/connection_error.rs
@@ -5,8 +5,8 @@
 
 /// Error after which the gateway responds to the client and closes the connection.
 ///
-/// The text of each variant is part of the wire protocol. The client receives it after the prefix `-ERR
-/// protocol error: `.
+/// The text of each variant is part of the wire protocol. The client receives it after the prefix
+/// `-ERR protocol error: `.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum ConnectionError {
     /// The input is not valid RESP, so the start of the next command cannot be located.
--- a/src/gateway/clients/request_error.rs
+++ b/src/gateway/clients/request_error.rs
@@ -5,8 +5,7 @@
 
 /// Reason why a command is not a valid request. The connection stays open.
 ///
-/// The text of each variant is part of the wire protocol. The client receives it after the prefix `-ERR
-/// `.
+/// The text of each variant is part of the wire protocol. The client receives it after the prefix `-ERR `.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The command has too few or too many parts.
--- a/src/gateway/resp/command.rs
+++ b/src/gateway/resp/command.rs
@@ -1,18 +1,19 @@
-//! Commands, as clients send them: arrays of bulk strings.
+//! Parser for client commands, which are arrays of bulk strings.
 
 use super::ProtocolError;
 use super::primitives::{MAX_VALUE_LEN, parse_bulk, parse_length};
 use std::ops::Range;
 
-/// Parts of a command that are kept. A command with more parts is read to its end, so that it can be rejected as
-/// unknown without closing the connection.
+/// Maximum number of parts whose positions are recorded. A command with more parts is still parsed to its
+/// end, so it can be rejected as unknown without closing the connection.
 pub const MAX_KEPT_PARTS: usize = 5;
-/// A command with more parts than this is a protocol error.
+/// Maximum number of parts in a command. More is a protocol error.
 const MAX_PARTS: usize = 64;
-/// The longest command, in bytes: one part may be a whole value, and the others are short in every useful command.
+/// Maximum length of a command in bytes. One part may have the maximum value length; the other parts of
+/// any supported command are short.
 pub const MAX_COMMAND_LEN: usize = MAX_VALUE_LEN + 8 * 1024;
 
-/// A whole command, whose parts lie in the bytes received.
+/// A complete command, borrowed from the input buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Command<'a> {
     bytes: &'a [u8],
@@ -21,7 +22,7 @@
 }
 
 impl<'a> Command<'a> {
-    /// The bytes of the whole command.
+    /// The encoded command, without any bytes that follow it in the input buffer.
     #[must_use]
     pub fn bytes(&self) -> &'a [u8] {
         self.bytes
@@ -33,23 +34,25 @@
         self.part_count
     }
 
-    /// The place of a part within [`bytes`](Self::bytes); empty where there is no such part.
+    /// Position of a part within [`bytes`](Self::bytes). Empty if the part does not exist or its position
+    /// was not recorded.
     #[must_use]
     pub fn part_range(&self, index: usize) -> Range<usize> {
         self.parts.get(index).cloned().unwrap_or_default()
     }
 
-    /// The bytes of a part; empty where there is no such part.
+    /// Content of a part. Empty if the part does not exist or its position was not recorded.
     #[must_use]
     pub fn part(&self, index: usize) -> &'a [u8] {
         &self.bytes[self.part_range(index)]
     }
 }
 
-/// Parses the command at the beginning of the bytes; `None` while only a part of it has been received.
+/// Parses the command at the start of `bytes`. Returns `None` if the command is incomplete.
 ///
 /// # Errors
-/// When the bytes are not an array of bulk strings, or exceed a limit. Where the next command begins is then unknown.
+/// Returns an error if the bytes are not an array of bulk strings or exceed a limit. The start of the
+/// next command is then unknown.
 pub fn parse_command(bytes: &[u8]) -> Result<Option<Command<'_>>, ProtocolError> {
     let Some(header) = parse_length(bytes, 0, b'*')? else {
         return Ok(None);
--- a/src/gateway/resp/encode.rs
+++ b/src/gateway/resp/encode.rs
@@ -1,23 +1,23 @@
-//! Encoding of bulk strings and numbers.
+//! Encoders for bulk strings and numbers.
 
-/// The decimal digits of the largest `u64`.
+/// Number of decimal digits in `u64::MAX`.
 const MAX_U64_DIGITS: usize = 20;
 
-/// Appends a bulk string.
+/// Appends `value` as a bulk string: its length, its bytes and CR LF.
 pub fn put_bulk(out: &mut Vec<u8>, value: &[u8]) {
     put_number(out, b'$', value.len());
     out.extend_from_slice(value);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a line with a type byte and a number.
+/// Appends a type byte, a decimal number and CR LF.
 pub fn put_number(out: &mut Vec<u8>, type_byte: u8, number: usize) {
     out.push(type_byte);
     put_digits(out, number as u64);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends the decimal digits of a number.
+/// Appends a number in decimal, without a terminator.
 pub fn put_digits(out: &mut Vec<u8>, mut number: u64) {
     let mut digits = [0u8; MAX_U64_DIGITS];
     let mut first = digits.len();
--- a/src/gateway/resp/mod.rs
+++ b/src/gateway/resp/mod.rs
@@ -1,8 +1,8 @@
-//! The subset of RESP2 that clients and endpoints speak.
+//! The subset of RESP2 that clients and endpoints use.
 //!
-//! Parsing is bounded and copies nothing: a parsed [`Command`] or [`Reply`] refers to places in the bytes received.
-//! Every parser returns `Ok(None)` while the bytes hold only the beginning of a message, and is called again with
-//! the same bytes once more have arrived.
+//! Parsers enforce length limits and copy nothing: a parsed [`Command`] or [`Reply`] refers to positions
+//! in the input buffer. Every parser returns `Ok(None)` if the message is incomplete. The caller retries
+//! with the same bytes after more have arrived.
 
 mod command;
 mod encode;
--- a/src/gateway/resp/primitives.rs
+++ b/src/gateway/resp/primitives.rs
@@ -1,22 +1,22 @@
-//! Lines, lengths and bulk strings, of which commands and replies consist.
+//! Parsers for the elements of commands and replies: lines, lengths and bulk strings.
 
 use super::ProtocolError;
 use std::ops::Range;
 
-/// The longest value that the protocol allows, in bytes.
+/// Maximum length of a bulk string, in bytes.
 pub const MAX_VALUE_LEN: usize = 64 * 1024;
-/// The longest line that holds a length or an error, in bytes.
+/// Maximum length of a line with a length or an error, in bytes.
 const MAX_LINE_LEN: usize = 1024;
-/// Ten digits cannot overflow an `i64`, and exceed every length that the protocol allows.
+/// Ten digits fit into an `i64` and can express every length that the protocol allows.
 const MAX_LENGTH_DIGITS: usize = 10;
 
-/// A parsed element, and where the next one begins.
+/// A parsed element and the position of the next one.
 pub(super) struct Parsed<T> {
     pub(super) value: T,
     pub(super) next: usize,
 }
 
-/// Parses the line that starts at `start`. The value is the position of its terminator.
+/// Parses the line at `start`. The value is the position of its terminator.
 pub(super) fn parse_line(
     bytes: &[u8],
     start: usize,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Parses a line with a length behind its type byte. The length is `None` for -1, which stands for null.
+/// Parses a type byte followed by a length. A length of -1 represents null and is returned as `None`.
 pub(super) fn parse_length(
     bytes: &[u8],
     start: usize,
@@ -59,7 +59,7 @@
     }))
 }
 
-/// Parses a decimal number without sign or space.
+/// Parses an unsigned decimal number. Signs and spaces are rejected.
 fn parse_digits(digits: &[u8]) -> Result<usize, ProtocolError> {
     let length_is_valid = (1..=MAX_LENGTH_DIGITS).contains(&digits.len());
     if !length_is_valid || !digits.iter().all(u8::is_ascii_digit) {
@@ -68,11 +68,11 @@
     let number = digits
         .iter()
         .fold(0u64, |number, digit| number * 10 + u64::from(digit - b'0'));
-    // A length beyond the address space exceeds every limit, as the largest `usize` does.
+    // A length that does not fit into `usize` exceeds every limit, as `usize::MAX` does.
     Ok(usize::try_from(number).unwrap_or(usize::MAX))
 }
 
-/// Parses a bulk string. The value is the place of its bytes, `None` for the null string.
+/// Parses a bulk string. The value is the position of its content, or `None` for the null bulk string.
 pub(super) fn parse_bulk(
     bytes: &[u8],
     start: usize,
--- a/src/gateway/resp/reply.rs
+++ b/src/gateway/resp/reply.rs
@@ -1,36 +1,38 @@
-//! Replies, as endpoints send them: an error line, or an array of a value, its metered use and a load report.
+//! Parser for endpoint replies: an error line, or an array of a value, its metered use and a load report.
 
 use super::ProtocolError;
 use super::primitives::{parse_bulk, parse_length, parse_line};
 use std::ops::Range;
 
-/// The elements of a successful reply: value, metered use, load report.
+/// Number of elements in a successful reply: value, metered use and load report.
 const REPLY_ELEMENTS: usize = 3;
 
-/// An endpoint's reply, as places in the bytes received.
+/// An endpoint's reply, as positions in the input buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The request was served.
+    /// A successful reply.
     Served {
-        /// The value's whole bulk string, header and terminator included, as the client is to receive it.
+        /// The value as a complete bulk string with header and terminator, as it is sent to the client.
         value: Range<usize>,
-        /// The key-value fields of the metered use, where there are any.
+        /// Key-value fields of the metered use, if present.
         used: Option<Range<usize>>,
-        /// The key-value fields of the load report, where there is one.
+        /// Key-value fields of the load report, if present.
         report: Option<Range<usize>>,
     },
     /// An error line, without its type byte and terminator.
     Error(Range<usize>),
 }
 
-/// Parses the reply at the beginning of the bytes, and returns it with its length in bytes; `None` while only a part
-/// of it has been received.
+/// Parses the reply at the start of `bytes`, and returns it with its length in bytes. Returns `None` if
+/// the reply is incomplete.
 ///
-/// The length is 0 where it cannot be determined, because the value is valid but what follows it is malformed. The
-/// value is then still good for the client, but the connection cannot be used again.
+/// The length is 0 if the value is valid but the elements after it are malformed. The value can still be
+/// sent to the client, but the connection cannot be reused because the start of the next reply is
+/// unknown.
 ///
 /// # Errors
-/// When the bytes are neither an error line nor an array of three elements that begins with a value.
+/// Returns an error if the bytes are neither an error line nor an array of three elements that starts
+/// with a value.
 pub fn parse_reply(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
     match bytes.first() {
         None => Ok(None),
