--- a/src/gateway/event_loop/endpoint_translator.rs
+++ b/src/gateway/event_loop/endpoint_translator.rs
@@ -1,4 +1,4 @@
-//! Translates the endpoints of discovery into those of the decision engine.
+//! Converts endpoints from discovery to the decision engine's representation.
 
 use crate::gateway::discovery::{EndpointUpdate, ListedEndpoint};
 use crate::{
@@ -6,7 +6,7 @@
     ZoneId,
 };
 
-/// Knows the numbers of the names that discovery uses: the engine numbers zones and hardware models in the order of
+/// Maps the names of zones and hardware models in discovery to the engine's ids, which are positions in
 /// the settings.
 pub(super) struct EndpointTranslator {
     zones: Vec<String>,
@@ -14,7 +14,7 @@
 }
 
 impl EndpointTranslator {
-    /// Numbers zones and hardware models by their positions in these lists.
+    /// Creates a translator. Ids are positions in these lists.
     pub fn new(zones: Vec<String>, hardware_models: Vec<String>) -> EndpointTranslator {
         EndpointTranslator {
             zones,
@@ -22,9 +22,9 @@
         }
     }
 
-    /// The event that reports an update to the engine. The endpoints in `replaced`, whose address belongs to another
-    /// one now, are removed in it, whether or not the update names them.
-    pub fn endpoints_changed(&self, update: &EndpointUpdate, replaced: &[EndpointName]) -> Event {
+    /// Returns the engine event for an update. Endpoints in `replaced`, whose address now belongs to
+    /// another endpoint, are marked as removed, whether or not the update lists them.
+    pub fn update_event(&self, update: &EndpointUpdate, replaced: &[EndpointName]) -> Event {
         let kind = if update.snapshot {
             EndpointListKind::Snapshot
         } else {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The entry of an endpoint of which nothing matters but that it is removed.
+/// Returns an entry that marks an endpoint as removed. The other values are placeholders.
 fn removed_endpoint(name: &EndpointName) -> Endpoint {
     Endpoint {
         name: name.clone(),
@@ -75,7 +75,7 @@
     }
 }
 
-/// The index of a name in the settings. Names that the settings do not list share the index behind the last.
+/// Returns the index of a name in the settings. All unknown names share the index after the last one.
 fn index_of(names: &[String], name: &str) -> u32 {
     let position = names.iter().position(|known| known == name);
     u32::try_from(position.unwrap_or(names.len())).unwrap_or(u32::MAX)
--- a/src/gateway/event_loop/engine_actions.rs
+++ b/src/gateway/event_loop/engine_actions.rs
@@ -1,11 +1,11 @@
-//! The dispatcher of the engine's actions.
+//! Dispatches the engine's actions.
 
 use crate::Action;
 use crate::gateway::event_loop::timers::Timer;
 use crate::gateway::event_loop::{EventLoop, gateway_answers};
 use std::time::Instant;
 
-/// Carries out one action. `now` is the time of the event that led to it.
+/// Executes one action. `now` is the time of the event that caused it.
 pub(super) fn execute(event_loop: &mut EventLoop, action: Action, now: Instant) {
     match action {
         Action::Forward {
--- a/src/gateway/event_loop/engine_queue.rs
+++ b/src/gateway/event_loop/engine_queue.rs
@@ -1,47 +1,48 @@
-//! The decision engine with the events that wait for it.
+//! Event queue in front of the decision engine.
 
 use crate::gateway::engine_time::EngineClock;
 use crate::{Action, DecisionEngine, Event};
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// The decision engine, which handles one event after another. An action that ends at once brings an event of its
-/// own, which waits until all actions of the present one are carried out.
+/// The decision engine with its queue of events, which are handled one after another. An action that
+/// completes immediately produces another event. That event is queued until all actions of the current
+/// one are executed.
 pub(super) struct EngineQueue {
     engine: DecisionEngine,
-    waiting: VecDeque<Event>,
-    /// Whether the actions of an event are being carried out.
-    is_busy: bool,
+    events: VecDeque<Event>,
+    /// Whether the actions of an event are being executed.
+    is_executing: bool,
 }
 
-/// What the engine has decided on one event.
+/// The engine's decision on one event.
 pub(super) struct Decision {
-    /// The actions, to be carried out in this order.
+    /// The actions, in order of execution.
     pub actions: Vec<Action>,
-    /// When the event was handled.
+    /// Time at which the event was handled.
     pub made_at: Instant,
 }
 
 impl EngineQueue {
-    /// A queue without events.
     pub fn new(engine: DecisionEngine) -> EngineQueue {
         EngineQueue {
             engine,
-            waiting: VecDeque::new(),
-            is_busy: false,
+            events: VecDeque::new(),
+            is_executing: false,
         }
     }
 
-    /// Adds an event. True if the caller has to carry out the decisions: nobody does so yet.
+    /// Adds an event. Returns `true` if the caller must execute the pending decisions, because no other
+    /// call is doing so.
     pub fn push(&mut self, event: Event) -> bool {
-        self.waiting.push_back(event);
-        !std::mem::replace(&mut self.is_busy, true)
+        self.events.push_back(event);
+        !std::mem::replace(&mut self.is_executing, true)
     }
 
-    /// The decision on the next event; `None` when no event waits any more.
+    /// Handles the next event and returns the decision on it, or `None` if the queue is empty.
     pub fn next_decision(&mut self, clock: &EngineClock) -> Option<Decision> {
-        let Some(event) = self.waiting.pop_front() else {
-            self.is_busy = false;
+        let Some(event) = self.events.pop_front() else {
+            self.is_executing = false;
             return None;
         };
         let made_at = Instant::now();
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -1,7 +1,8 @@
-//! Requests on their way: the requests in flight, the connections to endpoints, and what concerns both.
+//! Forwards requests: ties the requests in flight to the connections to endpoints.
 //!
-//! The forwarder starts attempts, sends commands and receives responses. It knows nothing of the decision engine:
-//! what ends an attempt returns an [`AttemptOutcome`], which the event loop reports.
+//! The forwarder starts attempts, sends commands and receives responses. It does not depend on the
+//! decision engine. Operations that end an attempt return an [`AttemptOutcome`], which the event loop
+//! reports to the engine.
 
 use crate::gateway::endpoints::{
     Assignment, AttemptId, Dial, EndpointConnection, EndpointEventHandler, EndpointPool,
@@ -16,41 +17,41 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// The requests in flight and the connections to endpoints.
 pub(super) struct Forwarder {
     pub requests: ProxiedRequests,
     pub endpoints: EndpointPool,
     malformed_responses: MalformedResponses,
-    /// No request costs more than this.
+    /// The highest cost that the settings allow for a request. A higher reported cost is ignored.
     largest_request_cost: Tokens,
 }
 
-/// What a [`Forwarder`] may use.
+/// Resource limits of a [`Forwarder`].
 pub(super) struct ForwarderLimits {
-    /// The most requests in flight.
+    /// Maximum number of requests in flight.
     pub max_requests: usize,
-    /// The most connections to endpoints.
+    /// Maximum number of connections to endpoints.
     pub max_connections: usize,
-    /// The most bytes of the commands in flight, and of the responses that are not complete yet.
+    /// Limit in bytes that applies twice: to the commands in flight, and to incomplete responses.
     pub memory_per_purpose: usize,
-    /// The longest time that opening a connection may take.
+    /// Maximum time for opening a connection.
     pub connect_timeout: Duration,
-    /// How long endpoints let a connection be idle before they close it.
+    /// Time after which endpoints close an idle connection.
     pub endpoint_idle_timeout: Duration,
 }
 
-/// What came of an attempt that the engine has asked for.
-pub(super) enum Forwarded {
-    /// Its command is on a connection, or a connection is being opened for it.
+/// Result of starting an attempt that the engine requested.
+pub(super) enum ForwardOutcome {
+    /// The command was handed to a connection, or a connection is being opened for it.
     Running(AttemptId),
-    /// It has ended at once.
+    /// The attempt ended immediately. The outcome is `None` if the request is no longer in flight.
     Ended(Option<AttemptOutcome>),
-    /// Nothing may be sent, because the client has disconnected. The attempt is still to be cancelled.
+    /// The client has disconnected, so nothing may be sent. The caller must cancel the attempt.
     Abandoned,
 }
 
 impl Forwarder {
-    /// A forwarder without any request. What happens on connections goes to `handler`.
+    /// Creates a forwarder without requests or connections. `handler` receives the events of endpoint
+    /// connections.
     pub fn new(
         settings: &Settings,
         limits: &ForwarderLimits,
@@ -74,38 +75,40 @@
         }
     }
 
-    /// Starts an attempt on an idle connection or, if there is none, on a new one.
+    /// Starts an attempt on an idle connection, or opens a new one if there is none.
     pub fn start_attempt(
         &mut self,
         id: RequestId,
         endpoint: EndpointName,
         now: Instant,
         deadline: Instant,
-    ) -> Forwarded {
+    ) -> ForwardOutcome {
         let start = self
             .requests
             .start_attempt(id, endpoint.clone(), now, deadline);
         let attempt = match start {
-            None => return Forwarded::Ended(None),
-            Some(AttemptStart::Pointless) => return self.ended(id, AttemptResult::NeverSent),
-            Some(AttemptStart::Abandoned) => return Forwarded::Abandoned,
+            None => return ForwardOutcome::Ended(None),
+            Some(AttemptStart::Obsolete) => return self.end_now(id, AttemptResult::NeverSent),
+            Some(AttemptStart::Abandoned) => return ForwardOutcome::Abandoned,
             Some(AttemptStart::Running(attempt)) => attempt,
         };
-        // A connection that breaks before anything is written has cost nothing, so the next one is as good.
+        // A connection that fails before any byte is written costs nothing, so the next idle one is tried.
         while let Some(connection) = self.endpoints.take_idle(&endpoint, now) {
             if self.send_command(id, &connection) {
-                return Forwarded::Running(attempt);
+                return ForwardOutcome::Running(attempt);
             }
         }
         if self.endpoints.dial(attempt, endpoint, deadline - now) {
-            Forwarded::Running(attempt)
+            ForwardOutcome::Running(attempt)
         } else {
-            self.ended(id, AttemptResult::ConnectFailed)
+            self.end_now(id, AttemptResult::ConnectFailed)
         }
     }
 
-    /// A connect has ended; `stream` is `None` if it failed. The attempt may have ended before: then the new
-    /// connection is kept for others (test `a_connect_that_ends_after_its_attempt_carries_only_a_later_request`).
+    /// Handles the end of a connect; `stream` is `None` if it failed.
+    ///
+    /// If the attempt has already ended, the new connection is kept for later requests (test
+    /// `a_connect_that_ends_after_its_attempt_carries_only_a_later_request`).
     pub fn connect_finished(
         &mut self,
         dial: Dial,
@@ -114,7 +117,7 @@
         let attempt = dial.attempt;
         let is_awaited = self.requests.is_connecting(attempt);
         let Some(stream) = stream else {
-            // The permit is free before the engine decides on another attempt.
+            // Releases the connection permit before the engine decides on another attempt.
             drop(dial);
             return is_awaited
                 .then(|| self.finish_attempt(attempt.request, AttemptResult::ConnectFailed))
@@ -125,14 +128,15 @@
             self.endpoints.put_idle(&connection, Instant::now());
             return None;
         }
-        // The endpoint may have restarted or begun to drain meanwhile, which `send_command` checks.
+        // The endpoint may have restarted or started draining in the meantime. `send_command` checks for
+        // both.
         if self.send_command(attempt.request, &connection) {
             return None;
         }
         self.finish_attempt(attempt.request, AttemptResult::ConnectFailed)
     }
 
-    /// A response has arrived. The client gets a value at once, before the engine learns of it.
+    /// Handles a response. A value is sent to the client before the outcome is reported to the engine.
     pub fn response_received(
         &mut self,
         connection: &Rc<EndpointConnection>,
@@ -141,8 +145,8 @@
     ) -> Option<AttemptOutcome> {
         let assignment = connection.unassign();
         let id = assignment.request()?;
-        // A response before the command is complete, or one that no endpoint writes, may be followed by more that
-        // belongs to no request.
+        // The connection cannot be reused if the response arrived before the command was written
+        // completely, or if it is an unknown error. Further bytes that belong to no request may follow.
         let is_reusable = nothing_follows
             && matches!(assignment, Assignment::AwaitingResponse { .. })
             && !matches!(response, EndpointResponse::UnknownError);
@@ -159,7 +163,7 @@
             .finish_attempt(id, outcome.result, outcome.reports)
     }
 
-    /// A connection has ended, with an error if that is because of the bytes that were read.
+    /// Handles the end of a connection. `error` is set if the endpoint sent invalid bytes.
     pub fn connection_closed(
         &mut self,
         connection: &Rc<EndpointConnection>,
@@ -175,13 +179,13 @@
             .abort_attempt(id, AttemptResult::ConnectionReset)
     }
 
-    /// Closes old idle connections and logs malformed responses. Returns when to do so again.
+    /// Closes expired idle connections and logs malformed responses. Returns the time of the next run.
     pub fn reap_idle_connections(&mut self) -> Instant {
         self.malformed_responses.log();
         self.endpoints.reap_idle(Instant::now())
     }
 
-    /// Whether a timer still means anything.
+    /// Whether a timer still has an effect when it expires.
     pub fn is_pending(&self, timer: &Timer) -> bool {
         match timer {
             Timer::Engine { .. } | Timer::ReapIdleConnections => true,
@@ -190,9 +194,11 @@
         }
     }
 
-    /// Sends the command of a request on a connection. False if nothing was written: the connection broke before,
-    /// its endpoint takes no new requests, or a further attempt could be executed a second time. The connection is
-    /// closed then (test `request_goes_elsewhere_if_its_endpoint_starts_draining_while_connecting`).
+    /// Sends the command of a request on a connection.
+    ///
+    /// Returns `false` and closes the connection if nothing was written: the connection had failed, the
+    /// endpoint accepts no new requests, or another attempt could execute the request twice (test
+    /// `request_goes_elsewhere_if_its_endpoint_starts_draining_while_connecting`).
     fn send_command(&mut self, id: RequestId, connection: &Rc<EndpointConnection>) -> bool {
         let is_sent =
             self.endpoints.is_usable(connection) && self.requests.send_command(id, connection);
@@ -202,13 +208,13 @@
         is_sent
     }
 
-    /// Ends an attempt without a response that reports anything.
+    /// Ends an attempt without reports from the endpoint.
     fn finish_attempt(&mut self, id: RequestId, result: AttemptResult) -> Option<AttemptOutcome> {
         self.requests
             .finish_attempt(id, result, ResponseReports::default())
     }
 
-    fn ended(&mut self, id: RequestId, result: AttemptResult) -> Forwarded {
-        Forwarded::Ended(self.finish_attempt(id, result))
+    fn end_now(&mut self, id: RequestId, result: AttemptResult) -> ForwardOutcome {
+        ForwardOutcome::Ended(self.finish_attempt(id, result))
     }
 }
--- a/src/gateway/event_loop/gateway_answers.rs
+++ b/src/gateway/event_loop/gateway_answers.rs
@@ -1,12 +1,13 @@
-//! The final answers that the gateway gives itself, without an endpoint.
+//! Final responses that the gateway generates itself.
 
 use crate::Milliseconds;
 use crate::gateway::resp;
 
-/// The answer to a request that failed. It does not say whether the request was executed.
+/// Response to a failed request. It does not tell whether the request was executed.
 pub(super) const FAILED: &[u8] = b"-ERR failed\r\n";
 
-/// The answer to a rejected request, with the time after which a retry is useful if that is a millisecond or more.
+/// Returns the response to a rejected request, with the suggested retry delay if that is at least one
+/// millisecond.
 pub(super) fn rejection(retry_after: Milliseconds) -> Vec<u8> {
     let mut line = b"-BUSY".to_vec();
     let retry_after_ms = retry_after.as_f64() as u64;
--- a/src/gateway/event_loop/malformed_responses.rs
+++ b/src/gateway/event_loop/malformed_responses.rs
@@ -1,10 +1,11 @@
-//! Counts the responses that could not be read, for the log.
+//! Counts malformed endpoint responses for the log.
 
 use crate::EndpointName;
 use crate::gateway::endpoints::EndpointProtocolError;
 use crate::gateway::log::{self, LogEvent};
 
-/// The malformed responses since the last line about them in the log. A line for each would flood it.
+/// Malformed responses since the last log line about them. They are aggregated because one line per
+/// response would flood the log.
 #[derive(Default)]
 pub(super) struct MalformedResponses {
     count: u32,
@@ -17,13 +18,13 @@
 }
 
 impl MalformedResponses {
-    /// Counts a response of this endpoint.
+    /// Counts a malformed response and remembers it as the last one.
     pub fn record(&mut self, endpoint: EndpointName, error: EndpointProtocolError) {
         self.count += 1;
         self.last = Some(MalformedResponse { endpoint, error });
     }
 
-    /// Writes a line to the log if there were any since the last one.
+    /// Logs the count and the last error if there were malformed responses, and resets the count.
     pub fn log(&mut self) {
         let MalformedResponses { count, last } = std::mem::take(self);
         if let Some(last) = last {
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -1,24 +1,24 @@
-//! The event loop of a gateway: it hands events to the decision engine and carries out the actions that the engine
-//! returns. It decides nothing itself.
+//! Event loop of a gateway. It passes events to the decision engine and executes the actions that the engine
+//! returns. It makes no decisions itself.
 //!
-//! All state has one owner, [`EventLoop`]. Each task (a client connection, an endpoint connection, the gossip socket,
-//! the timers) borrows it for the length of one synchronous call and never across an `await`, so calls neither
-//! overlap nor need locks.
+//! [`EventLoop`] owns all state. Each task (a client connection, an endpoint connection, the gossip socket,
+//! the timers) borrows it for one synchronous call and never across an `await`, so calls do not overlap and
+//! need no locks.
 //!
-//! | component | what it owns |
+//! | component | owns |
 //! | --- | --- |
-//! | `EngineQueue` | the decision engine, with everything that decisions depend on |
-//! | `EngineClock` | the conversion between the gateway's times and the engine's |
+//! | `EngineQueue` | the decision engine, with all state that decisions depend on |
+//! | `EngineClock` | the conversion between `Instant` and the engine's timestamps |
 //! | `TimerQueue` | all timers |
-//! | `Forwarder` | what is on its way, and what concerns both of its parts: |
-//! | - `ProxiedRequests` | the requests in flight, their attempts, and what they occupy |
+//! | `Forwarder` | request forwarding, in two parts: |
+//! | - `ProxiedRequests` | the requests in flight, their attempts and their resource use |
 //! | - `EndpointPool` | the listed endpoints and the connections to them |
-//! | `EndpointTranslator` | the numbers of zones and hardware models |
-//! | `GossipSocket` | the socket to the other gateways |
-//! | `ServicePhase` | by when everything has to be answered |
+//! | `EndpointTranslator` | the ids of zones and hardware models |
+//! | `GossipSocket` | the socket for gossip with other gateways |
+//! | `ServicePhase` | the deadline for all responses during a shutdown |
 //!
-//! Two dispatchers map what happens to what is done: `engine_actions` for the actions of the engine, and
-//! `socket_events` for the events of the sockets. Timers are dispatched in `timer_task`.
+//! `engine_actions` dispatches the engine's actions, `socket_events` the socket events and `timer_task` the
+//! timers.
 
 mod endpoint_translator;
 mod engine_actions;
@@ -52,7 +52,7 @@
 use endpoint_translator::EndpointTranslator;
 use engine_actions::execute;
 use engine_queue::EngineQueue;
-use forwarder::{Forwarded, Forwarder, ForwarderLimits};
+use forwarder::{ForwardOutcome, Forwarder, ForwarderLimits};
 use proxied_request::ProxiedRequest;
 use service_phase::ServicePhase;
 use std::cell::RefCell;
@@ -61,32 +61,32 @@
 use timers::{Timer, TimerQueue};
 use tokio::net::TcpStream;
 
-/// The engine's deadline lies this long before the client's: the client's time runs from when it sent the request,
-/// and the delivery of the answer, also by a busy core, takes some of it.
+/// Margin between the engine's deadline and the client's. The client's time starts when it sends the request,
+/// and delivery of the response takes part of it, more so on a busy core.
 const CLIENT_DEADLINE_MARGIN: Duration = Duration::from_millis(6);
-/// A request without a final answer this long after the engine's deadline fails, so that every client gets one.
+/// A request without a final response fails this long after the engine's deadline, so every client gets one.
 const ANSWER_GRACE: Duration = Duration::from_millis(3);
 
-/// A shared handle to the one owner of all state.
+/// Shared handle to the event loop.
 pub type EventLoopHandle = Rc<RefCell<EventLoop>>;
 
-/// The decision engine, and the components that its actions act on.
+/// The decision engine and the components that execute its actions.
 pub struct EventLoop {
     engine: EngineQueue,
     clock: EngineClock,
     timers: TimerQueue,
     forwarder: Forwarder,
     endpoint_translator: EndpointTranslator,
-    /// Absent if gossip is disabled.
+    /// `None` if gossip is disabled.
     gossip: Option<GossipSocket>,
     phase: ServicePhase,
 }
 
 impl EventLoop {
-    /// An event loop that has just started and opens at most `max_connections` connections to endpoints.
+    /// Creates an event loop that opens at most `max_connections` connections to endpoints.
     ///
     /// # Errors
-    /// When the settings hold a value that the engine cannot act on.
+    /// Returns an error if a setting has a value that the engine does not support.
     pub fn new(
         configuration: Configuration,
         gossip: Option<GossipSocket>,
@@ -127,37 +127,38 @@
         Ok(event_loop)
     }
 
-    /// Replaces the way in which connections to endpoints are opened, which is plain TCP by default.
+    /// Replaces the function that opens connections to endpoints. The default opens plain TCP
+    /// connections.
     pub fn set_connector(&mut self, connector: Connector) {
         self.forwarder.endpoints.set_connector(connector);
     }
 
-    /// Adds an open connection, on which nothing was sent yet, to the idle connections of a listed endpoint.
-    /// Without a permit for it, or if the endpoint is not listed, the connection is closed.
+    /// Adds an unused open connection to the idle connections of a listed endpoint. Closes the connection if
+    /// it gets no connection permit or the endpoint is not listed.
     pub fn adopt_connection(&mut self, endpoint: &str, stream: TcpStream) {
         self.forwarder.endpoints.adopt_connection(endpoint, stream);
     }
 
-    /// How many requests have been received since the start.
+    /// Number of requests received since the start.
     #[must_use]
     pub fn requests_received(&self) -> u64 {
         self.forwarder.requests.received()
     }
 
-    /// How many requests are in flight, including those whose client has disconnected while an attempt still runs.
+    /// Number of requests in flight, including those without a client but with a running attempt.
     #[must_use]
     pub fn active_requests(&self) -> usize {
         self.forwarder.requests.len()
     }
 
-    /// Whether no client waits for an answer.
+    /// Whether no client is waiting for a response.
     #[must_use]
     pub fn all_answered(&self) -> bool {
         self.forwarder.requests.all_answered()
     }
 
-    /// Limits the time for all answers, since the process is killed after it: requests in flight, and those that
-    /// still come, are answered within `grace`.
+    /// Sets the shutdown deadline: all requests, current and future, are answered within `grace`. The process
+    /// is killed after it.
     pub fn shut_down_within(&mut self, grace: Duration) {
         let deadline = Instant::now() + grace;
         self.phase = ServicePhase::ShuttingDown { deadline };
@@ -168,8 +169,8 @@
 
     // The decision engine.
 
-    /// Hands an event to the engine and carries out the actions, unless that is being done for another event: then the
-    /// event waits for its turn.
+    /// Passes an event to the engine and executes the resulting actions. Queues the event if the actions of
+    /// another event are being executed.
     fn notify_engine(&mut self, event: Event) {
         if !self.engine.push(event) {
             return;
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Reports the end of an attempt, if one has ended.
+    /// Reports the outcome of an attempt to the engine, if there is one.
     fn attempt_finished(&mut self, outcome: Option<AttemptOutcome>) {
         if let Some(outcome) = outcome {
             self.notify_engine(Event::AttemptFinished(outcome));
@@ -198,7 +199,7 @@
     ) {
         let now = Instant::now();
         let client_deadline = (now + command.timeout).checked_sub(CLIENT_DEADLINE_MARGIN);
-        let deadline = self.phase.limit(client_deadline.unwrap_or(now));
+        let deadline = self.phase.cap_deadline(client_deadline.unwrap_or(now));
         let request = ProxiedRequest::new(command, client);
         let engine_request = request.to_engine_request(id, self.clock.timestamp(deadline));
         self.forwarder.requests.insert(id, request);
@@ -208,13 +209,12 @@
         self.forwarder.requests.mark_waiting(id);
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Sends the final response to a request, unless it has already been answered.
     fn answer(&mut self, id: RequestId, line: &[u8]) {
         self.forwarder.requests.answer(id, line);
     }
 
-    /// The client of a request in flight has disconnected, or counts as disconnected. Nothing more is sent for the
-    /// request.
+    /// Handles a client that has disconnected or is treated as such. Nothing more is sent for its request.
     fn client_disconnected(&mut self, id: RequestId) {
         if self.forwarder.requests.take_client(id).is_none() {
             return;
@@ -224,10 +224,10 @@
         self.attempt_finished(cancelled);
     }
 
-    /// A request has no final answer though its time is up: the engine counts it as abandoned, and the client gets
-    /// a failure.
+    /// Handles a request without a final response by its deadline. The engine counts it as abandoned, and the
+    /// client gets a failure response.
     fn answer_deadline_passed(&mut self, id: RequestId) {
-        if !self.phase.has_ended(Instant::now()) {
+        if !self.phase.is_past_deadline(Instant::now()) {
             log::event(&LogEvent::RequestOverdue);
         }
         let client = self.forwarder.requests.client(id).cloned();
@@ -247,15 +247,15 @@
         deadline: Instant,
     ) {
         match self.forwarder.start_attempt(id, endpoint, now, deadline) {
-            Forwarded::Running(attempt) => {
+            ForwardOutcome::Running(attempt) => {
                 self.schedule(deadline, Timer::AttemptDeadline { attempt });
             }
-            Forwarded::Ended(outcome) => self.attempt_finished(outcome),
-            Forwarded::Abandoned => self.client_disconnected(id),
+            ForwardOutcome::Ended(outcome) => self.attempt_finished(outcome),
+            ForwardOutcome::Abandoned => self.client_disconnected(id),
         }
     }
 
-    /// The client may have disconnected unseen while the connection was opened (test
+    /// Handles the end of a connect. The client may have disconnected meanwhile, unseen by the runtime (test
     /// `request_is_not_forwarded_if_its_connection_completes_together_with_the_disconnect`).
     fn connect_finished(&mut self, dial: Dial, stream: Option<TcpStream>) {
         let request = dial.attempt.request;
@@ -266,21 +266,21 @@
         self.attempt_finished(outcome);
     }
 
-    /// Ends an attempt from this side, and closes its connection.
+    /// Aborts an attempt and closes its connection.
     fn abort_attempt(&mut self, id: RequestId, result: AttemptResult) {
         let aborted = self.forwarder.requests.abort_attempt(id, result);
         self.attempt_finished(aborted);
     }
 
-    /// The list of endpoints has changed.
+    /// Applies and reports a change of the endpoint list, and aborts attempts on restarted endpoints.
     pub fn endpoints_changed(&mut self, update: &EndpointUpdate) {
         let change = self.forwarder.endpoints.apply_update(update);
         let event = self
             .endpoint_translator
-            .endpoints_changed(update, &change.replaced);
+            .update_event(update, &change.replaced);
         self.notify_engine(event);
-        // An endpoint that has restarted never answers what it had before. If its whole machine restarted, the
-        // connection is half open, and would not tell.
+        // A restarted endpoint never answers earlier requests. If its whole machine restarted, the connection
+        // is half-open and reports no error.
         let requests = &self.forwarder.requests;
         for id in requests.ids_on_connection_to_any(&change.restarted) {
             self.abort_attempt(id, AttemptResult::ConnectionReset);
@@ -292,7 +292,7 @@
             .schedule(expires_at, timer, |timer| self.forwarder.is_pending(timer));
     }
 
-    /// Closes old idle connections, logs malformed responses, and schedules itself.
+    /// Closes expired idle connections, logs malformed responses, and schedules the next run.
     fn reap_idle_connections(&mut self) {
         let next = self.forwarder.reap_idle_connections();
         self.schedule(next, Timer::ReapIdleConnections);
--- a/src/gateway/event_loop/proxied_request.rs
+++ b/src/gateway/event_loop/proxied_request.rs
@@ -1,5 +1,6 @@
-//! A request on its way between a client's connection and an endpoint's: its command, its client, and its current
-//! attempt. The decision engine has its own record of the request, `InFlightRequest`, which knows no socket.
+//! A request being proxied from a client connection to an endpoint connection: its command, its client
+//! and its running attempt. The decision engine keeps its own record of the request, `InFlightRequest`,
+//! which does not refer to sockets.
 
 use crate::gateway::clients::{ClientConnection, ClientRequest};
 use crate::gateway::endpoints::AttemptId;
@@ -8,39 +9,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A request in flight: until its final answer, and beyond it while an attempt is still running.
+/// A request in flight, until its final response is sent and no attempt is running.
 pub(super) struct ProxiedRequest {
     command: ClientRequest,
     client: ClientState,
     attempts_started: u32,
     attempt: Option<RunningAttempt>,
-    /// When the first attempt that may have been executed was started.
+    /// Start of the first attempt that the endpoint may have executed.
     first_executed_at: Option<Instant>,
 }
 
-/// The client that a request came from.
+/// The client of a request.
 enum ClientState {
-    /// The call in which the request came in is still running, so that the client was seen just now.
-    JustSeen(Rc<ClientConnection>),
-    /// The request has outlasted that call. The client may have disconnected meanwhile.
+    /// The call that received the request is still running, so the client was connected just now.
+    Receiving(Rc<ClientConnection>),
+    /// The call has returned. The client may have disconnected since.
     Waiting(Rc<ClientConnection>),
-    /// It has its answer or has disconnected.
+    /// The client was sent its final response or has disconnected.
     Released,
 }
 
 impl ProxiedRequest {
-    /// A request that has just been received.
+    /// Creates a request that is being received.
     pub fn new(command: ClientRequest, client: Rc<ClientConnection>) -> ProxiedRequest {
         ProxiedRequest {
             command,
-            client: ClientState::JustSeen(client),
+            client: ClientState::Receiving(client),
             attempts_started: 0,
             attempt: None,
             first_executed_at: None,
         }
     }
 
-    /// The request as the decision engine takes it.
+    /// Converts the request for the decision engine.
     pub fn to_engine_request(&self, id: RequestId, client_deadline: Timestamp) -> Request {
         let command = &self.command;
         Request {
@@ -56,65 +57,63 @@
         }
     }
 
-    /// The command as the client wrote it.
     pub fn command(&self) -> &ClientRequest {
         &self.command
     }
 
-    /// The call in which the request came in has ended.
+    /// Marks the end of the call that received the request.
     pub fn mark_waiting(&mut self) {
-        if let ClientState::JustSeen(client) =
+        if let ClientState::Receiving(client) =
             std::mem::replace(&mut self.client, ClientState::Released)
         {
             self.client = ClientState::Waiting(client);
         }
     }
 
-    /// The client that waits for the answer.
+    /// The connection of the client, if it waits for a response.
     pub fn client(&self) -> Option<&Rc<ClientConnection>> {
         match &self.client {
-            ClientState::JustSeen(client) | ClientState::Waiting(client) => Some(client),
+            ClientState::Receiving(client) | ClientState::Waiting(client) => Some(client),
             ClientState::Released => None,
         }
     }
 
-    /// Whether a client waits for the answer.
-    pub fn awaits_answer(&self) -> bool {
+    /// Whether a client waits for the response.
+    pub fn awaits_response(&self) -> bool {
         self.client().is_some()
     }
 
-    /// Releases the client, which from then on waits for no answer.
+    /// Removes and returns the client. The request no longer awaits a response.
     pub fn take_client(&mut self) -> Option<Rc<ClientConnection>> {
         match std::mem::replace(&mut self.client, ClientState::Released) {
-            ClientState::JustSeen(client) | ClientState::Waiting(client) => Some(client),
+            ClientState::Receiving(client) | ClientState::Waiting(client) => Some(client),
             ClientState::Released => None,
         }
     }
 
-    /// Whether the client has disconnected while the request waited, though its task has not seen that yet: what
-    /// the request waited for may have come just before, or the core may have been too busy.
+    /// Whether the client disconnected while the request waited and its connection task has not detected
+    /// it yet. The task may not have run because the core was busy, or because the event that the request
+    /// waited for arrived first.
     pub fn is_abandoned(&self) -> bool {
         matches!(&self.client, ClientState::Waiting(client) if client.is_disconnected())
     }
 
-    /// The attempt that runs.
     pub fn attempt(&self) -> Option<&RunningAttempt> {
         self.attempt.as_ref()
     }
 
-    /// The same, to change its state.
     pub fn attempt_mut(&mut self) -> Option<&mut RunningAttempt> {
         self.attempt.as_mut()
     }
 
-    /// Whether this attempt is the one that runs.
+    /// Whether this attempt is running.
     pub fn has_attempt(&self, id: AttemptId) -> bool {
         self.attempt
             .as_ref()
             .is_some_and(|attempt| attempt.id() == id)
     }
 
-    /// Starts the next attempt and returns its id.
+    /// Starts the next attempt and returns its id. Attempts are numbered from 0.
     pub fn start_attempt(
         &mut self,
         request: RequestId,
@@ -131,7 +130,8 @@
         id
     }
 
-    /// Ends the attempt. One that may have been executed counts for the deduplication window.
+    /// Ends the running attempt. If the endpoint may have executed it, the deduplication window starts
+    /// with the first such attempt.
     pub fn finish_attempt(&mut self, result: AttemptResult) -> Option<RunningAttempt> {
         let attempt = self.attempt.take()?;
         if may_have_executed(result) {
@@ -140,8 +140,8 @@
         Some(attempt)
     }
 
-    /// Whether endpoints would still recognize a further attempt as a duplicate. They do so within the deduplication
-    /// window only, which may have passed while a connection was being opened. Without a window this does not matter.
+    /// Whether endpoints would still detect another attempt as a duplicate. Always true for classes
+    /// without a deduplication window. The window may have passed while a connection was being opened.
     pub fn is_within_deduplication_window(&self, window: Option<Duration>, now: Instant) -> bool {
         match (window, self.first_executed_at) {
             (Some(window), Some(executed_at)) => {
--- a/src/gateway/event_loop/proxied_requests.rs
+++ b/src/gateway/event_loop/proxied_requests.rs
@@ -1,6 +1,7 @@
-//! All requests in flight, and what they occupy: memory, and the ids that their clients gave them.
+//! Table of the requests in flight, with the memory and the client-chosen ids that they occupy.
 //!
-//! A request stays here while a client waits for its answer or an attempt of it runs, and no longer.
+//! A request is in the table as long as its client waits for a response or one of its attempts is
+//! running.
 
 use crate::gateway::clients::ClientConnection;
 use crate::gateway::endpoints::{AttemptId, EndpointConnection};
@@ -12,34 +13,36 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// All requests in flight.
 pub(super) struct ProxiedRequests {
     requests: HashMap<RequestId, ProxiedRequest>,
-    /// The ids that the clients chose for the requests in flight.
+    /// Client-chosen ids of the requests in flight.
     client_request_ids: HashSet<u64>,
     memory_in_use: usize,
     max_requests: usize,
     max_memory_bytes: usize,
     received: u64,
     last_id: RequestId,
-    /// For each class the window within which endpoints recognize duplicates, if it is a keyed one.
+    /// Per class, the window within which endpoints detect duplicates; `None` for classes that are not
+    /// keyed.
     deduplication_windows: Vec<Option<Duration>>,
-    /// Holds a command while it is written, so that not every attempt needs a buffer of its own.
+    /// Buffer for encoding commands, reused for all attempts.
     write_buffer: Vec<u8>,
 }
 
-/// What came of the start of an attempt.
+/// Result of [`ProxiedRequests::start_attempt`].
 pub(super) enum AttemptStart {
-    /// It runs, and may be sent.
+    /// The attempt is running and may be sent.
     Running(AttemptId),
-    /// It runs, but must not be sent: its time is up, or the request has its answer.
-    Pointless,
-    /// It runs, but must not be sent: the client has disconnected.
+    /// The attempt is running but must not be sent: its deadline has passed, or the request is already
+    /// answered.
+    Obsolete,
+    /// The attempt is running but must not be sent: the client has disconnected.
     Abandoned,
 }
 
 impl ProxiedRequests {
-    /// An empty table for at most `max_requests` requests, whose commands take at most `max_memory_bytes`.
+    /// Creates an empty table for at most `max_requests` requests, whose commands occupy at most
+    /// `max_memory_bytes`.
     pub fn new(
         classes: &[RequestClass],
         max_requests: usize,
@@ -58,41 +61,39 @@
         }
     }
 
-    /// Issues an id that was never used before.
+    /// Returns a new unique id.
     pub fn next_id(&mut self) -> RequestId {
         self.last_id.0 += 1;
         self.last_id
     }
 
-    /// How many requests have been inserted since the start.
+    /// Number of requests inserted since the start.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// How many requests are in flight.
+    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no client waits for an answer.
+    /// Whether no client is waiting for a response.
     pub fn all_answered(&self) -> bool {
         self.requests
             .values()
-            .all(|request| !request.awaits_answer())
+            .all(|request| !request.awaits_response())
     }
 
-    /// Whether a request with this client-chosen id is in flight.
     pub fn is_client_request_id_in_use(&self, client_request_id: u64) -> bool {
         self.client_request_ids.contains(&client_request_id)
     }
 
-    /// Whether one more request of this size fits.
+    /// Whether another request of this size fits into the limits.
     pub fn has_capacity_for(&self, bytes: usize) -> bool {
         self.requests.len() < self.max_requests
             && self.memory_in_use + bytes <= self.max_memory_bytes
     }
 
-    /// Adds a request that has just been received.
     pub fn insert(&mut self, id: RequestId, request: ProxiedRequest) {
         self.received += 1;
         self.memory_in_use += request.command().command_len();
@@ -101,12 +102,12 @@
         self.requests.insert(id, request);
     }
 
-    /// The ids of all requests.
+    /// Ids of all requests in flight.
     pub fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
-    /// The requests whose attempt a connection to one of these endpoints carries.
+    /// Requests whose running attempt was handed to a connection to one of these endpoints.
     pub fn ids_on_connection_to_any(&self, endpoints: &[EndpointName]) -> Vec<RequestId> {
         self.requests
             .iter()
@@ -119,27 +120,28 @@
             .collect()
     }
 
-    /// The call in which a request came in has ended.
+    /// Marks the end of the call that received a request.
     pub fn mark_waiting(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.mark_waiting();
         }
     }
 
-    /// The client that waits for the answer to a request.
+    /// The connection of the client that waits for the response to a request.
     pub fn client(&self, id: RequestId) -> Option<&Rc<ClientConnection>> {
         self.requests.get(&id)?.client()
     }
 
-    /// Whether the client of a request has disconnected though its task has not seen that yet.
+    /// Whether the client of a request has disconnected, although the connection task has not detected it
+    /// yet.
     pub fn is_abandoned(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
             .is_some_and(ProxiedRequest::is_abandoned)
     }
 
-    /// Releases the client that waits for the answer to a request. There is one at most once for each request, so that
-    /// no request is answered twice.
+    /// Removes and returns the client of a request. Returns `Some` at most once per request, so no
+    /// request is answered twice.
     pub fn take_client(&mut self, id: RequestId) -> Option<Rc<ClientConnection>> {
         let request = self.requests.get_mut(&id)?;
         let client = request.take_client()?;
@@ -149,21 +151,21 @@
         Some(client)
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Sends the final response to a request, unless it has already been answered.
     pub fn answer(&mut self, id: RequestId, line: &[u8]) {
         if let Some(client) = self.take_client(id) {
             client.answer(id, line);
         }
     }
 
-    /// Whether this attempt runs.
+    /// Whether this attempt is running.
     pub fn has_attempt(&self, id: AttemptId) -> bool {
         self.requests
             .get(&id.request)
             .is_some_and(|request| request.has_attempt(id))
     }
 
-    /// Whether this attempt runs and waits for its connection.
+    /// Whether this attempt is running and waits for its connection.
     pub fn is_connecting(&self, id: AttemptId) -> bool {
         self.requests.get(&id.request).is_some_and(|request| {
             request
@@ -172,11 +174,11 @@
         })
     }
 
-    /// Starts an attempt of a request; `None` if the request is not in flight any more.
+    /// Starts an attempt of a request. Returns `None` if the request is no longer in flight.
     ///
-    /// What the request waited for (a permit, a quota response, the failure of an attempt) may arrive together with the
-    /// disconnect of its client, which the runtime then has not seen. The socket itself is asked, so that nothing is
-    /// sent for a client that has left (tests
+    /// The event that the request waited for (a permit, a quota response, a failed attempt) may arrive
+    /// together with the client's disconnect, before the runtime has seen the disconnect. The client's
+    /// socket is therefore queried directly, so nothing is sent for a disconnected client (tests
     /// `request_is_not_forwarded_if_its_permit_is_released_together_with_the_disconnect`,
     /// `request_is_not_forwarded_if_its_quota_response_arrives_together_with_the_disconnect`,
     /// `attempt_that_fails_together_with_the_disconnect_is_not_retried`).
@@ -189,8 +191,8 @@
     ) -> Option<AttemptStart> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.start_attempt(id, endpoint, now, deadline);
-        Some(if deadline <= now || !request.awaits_answer() {
-            AttemptStart::Pointless
+        Some(if deadline <= now || !request.awaits_response() {
+            AttemptStart::Obsolete
         } else if request.is_abandoned() {
             AttemptStart::Abandoned
         } else {
@@ -198,8 +200,10 @@
         })
     }
 
-    /// Sends the command of a request on a connection, which carries the attempt from then on. False if nothing was
-    /// written, because the connection broke before or a further attempt could be executed a second time (test
+    /// Sends the command of a request on a connection and assigns the connection to the running attempt.
+    ///
+    /// Returns `false` if nothing was written, because the connection had failed or another attempt could
+    /// execute the request twice (test
     /// `a_keyed_request_is_not_retried_if_its_deduplication_window_passes_during_the_connect`).
     pub fn send_command(&mut self, id: RequestId, connection: &Rc<EndpointConnection>) -> bool {
         let now = Instant::now();
@@ -227,7 +231,8 @@
         true
     }
 
-    /// Ends the attempt of a request with this result. Returns what the engine has to know of it, if one was running.
+    /// Ends the running attempt of a request. Returns its outcome for the engine, or `None` if no attempt
+    /// was running.
     pub fn finish_attempt(
         &mut self,
         id: RequestId,
@@ -236,15 +241,15 @@
     ) -> Option<AttemptOutcome> {
         let request = self.requests.get_mut(&id)?;
         let attempt = request.finish_attempt(result)?;
-        let request_ended = !request.awaits_answer();
+        let request_ended = !request.awaits_response();
         if request_ended {
             self.remove(id);
         }
         Some(attempt.into_outcome(result, reports, request_ended))
     }
 
-    /// Ends the attempt of a request from this side and closes its connection. Without a completely written command it
-    /// counts as a failed connect, since the endpoint cannot have executed it.
+    /// Aborts the running attempt of a request and closes its connection. If the command was not written
+    /// completely, the result is a failed connect, because the endpoint cannot have executed it.
     pub fn abort_attempt(
         &mut self,
         id: RequestId,
@@ -260,8 +265,8 @@
         self.finish_attempt(id, result, ResponseReports::default())
     }
 
-    /// Cancels the attempt of a request if no endpoint has the whole command. The rest of it is not written (test
-    /// `a_client_disconnect_stops_a_partly_written_command`).
+    /// Cancels the running attempt of a request if its command was not written completely. The rest of
+    /// the command is not written (test `a_client_disconnect_stops_a_partly_written_command`).
     pub fn cancel_unsent_attempt(&mut self, id: RequestId) -> Option<AttemptOutcome> {
         let attempt = self.requests.get(&id)?.attempt()?;
         if attempt.may_have_executed() {
--- a/src/gateway/event_loop/response_outcome.rs
+++ b/src/gateway/event_loop/response_outcome.rs
@@ -1,24 +1,25 @@
-//! What a response of an endpoint means for the attempt that it ends.
+//! Maps endpoint responses to attempt outcomes.
 
 use crate::gateway::endpoints::EndpointResponse;
 use crate::{AttemptResult, LoadReport, Tokens};
 
-/// The outcome that a response gives its attempt.
+/// The result of an attempt, derived from its response.
 pub(super) struct ResponseOutcome {
     pub result: AttemptResult,
     pub reports: ResponseReports,
 }
 
-/// What an endpoint reported together with a response.
+/// Reports that an endpoint attached to a response.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ResponseReports {
     pub load_report: Option<LoadReport>,
-    /// The actual cost of the request.
+    /// Actual cost of the request, in tokens.
     pub actual_cost: Option<Tokens>,
 }
 
 impl ResponseOutcome {
-    /// Interprets a response. An actual cost that no request can have, because it is above `largest_cost`, is ignored.
+    /// Derives the outcome from a response. An actual cost that is not positive or exceeds `largest_cost`
+    /// is impossible and is ignored.
     pub fn new(response: &EndpointResponse<'_>, largest_cost: Tokens) -> ResponseOutcome {
         match *response {
             EndpointResponse::Success {
--- a/src/gateway/event_loop/running_attempt.rs
+++ b/src/gateway/event_loop/running_attempt.rs
@@ -1,16 +1,16 @@
-//! One attempt of a request, as a state machine.
+//! State machine of one attempt.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | - | the engine forwards the request | `Connecting` |
-//! | `Connecting` | an open connection takes the whole command | `OnConnection`, awaiting the response |
-//! | `Connecting` | an open connection takes a part of the command, or nothing yet | `OnConnection`, writing |
+//! | `Connecting` | an open connection accepts the whole command | `OnConnection`, awaiting the response |
+//! | `Connecting` | an open connection accepts none or part of the command | `OnConnection`, writing |
 //! | `OnConnection`, writing | the last byte of the command is written | `OnConnection`, awaiting the response |
-//! | any | the attempt ends: response, failure, deadline, or the client disconnects | - |
+//! | any | the attempt ends: response, failure, deadline or client disconnect | - |
 //!
-//! Whether a connection is still writing or awaits the response is part of its [`Assignment`], because the
-//! connection's own task writes what the socket does not take at once. Up to the last byte no endpoint can have
-//! executed the command; from there on it may have.
+//! The [`Assignment`] of the connection tells whether it is still writing or awaits the response, because
+//! the connection task writes the bytes that the socket did not accept at once. The endpoint cannot have
+//! executed the command before its last byte is written, and may have executed it from then on.
 
 use crate::gateway::endpoints::{Assignment, AttemptId, EndpointConnection};
 use crate::gateway::engine_time::to_milliseconds;
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The one attempt that a request may have running.
+/// The running attempt of a request, of which there is at most one.
 pub(super) struct RunningAttempt {
     id: AttemptId,
     endpoint: EndpointName,
@@ -29,14 +29,14 @@
 }
 
 enum AttemptState {
-    /// A connection is being opened. It is kept for reuse if the attempt ends before it is open.
+    /// A connection is being opened. If the attempt ends first, the connection is kept for reuse.
     Connecting,
-    /// This connection carries the attempt.
+    /// The connection that carries the attempt.
     OnConnection(Rc<EndpointConnection>),
 }
 
 impl RunningAttempt {
-    /// An attempt that has no connection yet.
+    /// Creates an attempt without a connection.
     pub fn start(
         id: AttemptId,
         endpoint: EndpointName,
@@ -52,32 +52,28 @@
         }
     }
 
-    /// Its id.
     pub fn id(&self) -> AttemptId {
         self.id
     }
 
-    /// When it was started.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// When it is abandoned.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Whether it waits for a connection.
     pub fn is_connecting(&self) -> bool {
         matches!(self.state, AttemptState::Connecting)
     }
 
-    /// Whether a connection to one of these endpoints carries it.
+    /// Whether a connection to one of these endpoints carries the attempt.
     pub fn is_on_connection_to_any(&self, endpoints: &[EndpointName]) -> bool {
         !self.is_connecting() && endpoints.contains(&self.endpoint)
     }
 
-    /// Whether the command is completely written, so that the endpoint may have executed it.
+    /// Whether the command is completely written, so the endpoint may have executed it.
     pub fn may_have_executed(&self) -> bool {
         match &self.state {
             AttemptState::Connecting => false,
@@ -87,13 +83,13 @@
         }
     }
 
-    /// A connection has begun to carry the attempt.
+    /// Assigns the connection that carries the attempt.
     pub fn assign(&mut self, connection: Rc<EndpointConnection>) {
         self.state = AttemptState::OnConnection(connection);
     }
 
-    /// Closes the connection, if there is one. Nothing more of the command is written, and nothing late can be taken
-    /// for the response to another request.
+    /// Closes the connection, if there is one. No more of the command is written, and a late response
+    /// cannot be mistaken for the response to another request.
     pub fn close_connection(&self) {
         if let AttemptState::OnConnection(connection) = &self.state {
             connection.unassign();
@@ -101,7 +97,7 @@
         }
     }
 
-    /// The outcome of an attempt that ends now, as the engine gets it.
+    /// Returns the outcome of the attempt for the engine. The latency is measured up to now.
     pub fn into_outcome(
         self,
         result: AttemptResult,
@@ -122,7 +118,7 @@
     }
 }
 
-/// Whether an endpoint may have executed an attempt that ended in this way.
+/// Whether an endpoint may have executed an attempt with this result.
 pub(super) fn may_have_executed(result: AttemptResult) -> bool {
     !matches!(
         result,
--- a/src/gateway/event_loop/service_phase.rs
+++ b/src/gateway/event_loop/service_phase.rs
@@ -1,28 +1,30 @@
-//! Whether the event loop serves without an end in sight or has to have answered everything by a deadline.
+//! Service phase of the event loop: normal service, or shutdown with a deadline for all responses.
 
 use std::time::Instant;
 
-/// The phase of the event loop. It changes once, when the process is asked to end.
+/// Service phase of the event loop. It changes once, when the process receives a shutdown request.
 #[derive(Clone, Copy)]
 pub(super) enum ServicePhase {
-    /// Requests have as much time as their clients give them.
+    /// Only the clients' deadlines limit requests.
     Serving,
-    /// The process is killed soon after the deadline, by which everything has to be answered.
+    /// The process is shutting down. All requests must be answered by the deadline, because the process
+    /// is killed soon after it.
     ShuttingDown { deadline: Instant },
 }
 
 impl ServicePhase {
-    /// The deadline of a request whose client waits until `client_deadline`. No request outlasts the kill (test
+    /// Returns the deadline of a request, given the client's. During a shutdown it is capped so that the
+    /// request is answered before the process is killed (test
     /// `request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit`).
-    pub fn limit(self, client_deadline: Instant) -> Instant {
+    pub fn cap_deadline(self, client_deadline: Instant) -> Instant {
         match self {
             ServicePhase::Serving => client_deadline,
             ServicePhase::ShuttingDown { deadline } => client_deadline.min(deadline),
         }
     }
 
-    /// Whether the deadline of a shutdown has passed, so that no request can be answered any more.
-    pub fn has_ended(self, now: Instant) -> bool {
+    /// Whether the shutdown deadline has passed. No request can be answered after it.
+    pub fn is_past_deadline(self, now: Instant) -> bool {
         match self {
             ServicePhase::Serving => false,
             ServicePhase::ShuttingDown { deadline } => now >= deadline,
--- a/src/gateway/event_loop/socket_events.rs
+++ b/src/gateway/event_loop/socket_events.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of the sockets' events: each goes to the method of [`EventLoop`] that handles it.
+//! Dispatches socket events to the methods of [`EventLoop`] that handle them.
 
 use crate::gateway::clients::{ClientEvent, ClientEventHandler};
 use crate::gateway::endpoints::{EndpointEvent, EndpointEventHandler};
@@ -20,11 +20,11 @@
             .is_client_request_id_in_use(client_request_id)
     }
 
-    /// Has no capacity at the limit on active requests in the settings, at that of the memory budget, and at the
-    /// end of a shutdown.
+    /// False if the number of active requests or their memory is at its limit, or if the shutdown
+    /// deadline has passed.
     fn has_capacity_for(&self, bytes: usize) -> bool {
         let event_loop = self.borrow();
-        !event_loop.phase.has_ended(Instant::now())
+        !event_loop.phase.is_past_deadline(Instant::now())
             && event_loop.forwarder.requests.has_capacity_for(bytes)
     }
 
--- a/src/gateway/event_loop/timer_task.rs
+++ b/src/gateway/event_loop/timer_task.rs
@@ -1,4 +1,4 @@
-//! The task that waits for the timers of the event loop, and the dispatcher of those that have expired.
+//! Task that waits for the event loop's timers and dispatches expired ones.
 
 use crate::gateway::event_loop::timers::{NextTimer, Timer};
 use crate::gateway::event_loop::{EventLoop, EventLoopHandle};
@@ -6,7 +6,7 @@
 use std::time::Instant;
 use tokio::time::sleep_until;
 
-/// Fires the timers of an event loop as they expire. Runs for ever.
+/// Fires the timers of an event loop as they expire. Never returns.
 pub async fn run_timers(event_loop: EventLoopHandle) {
     let wake_up = event_loop.borrow().timers.wake_up();
     loop {
@@ -23,14 +23,14 @@
     }
 }
 
-/// Fires the timers that have expired, and returns when the next one does.
+/// Fires all expired timers and returns the expiry of the next one.
 fn fire_expired(event_loop: &mut EventLoop) -> Option<Instant> {
     loop {
         let is_pending = |timer: &Timer| event_loop.forwarder.is_pending(timer);
         match event_loop.timers.next(Instant::now(), is_pending) {
             NextTimer::Expired(timer) => fire(event_loop, timer),
             NextTimer::ExpiresAt(instant) => return Some(instant),
-            NextTimer::Nothing => return None,
+            NextTimer::Empty => return None,
         }
     }
 }
--- a/src/gateway/event_loop/timers.rs
+++ b/src/gateway/event_loop/timers.rs
@@ -1,8 +1,9 @@
-//! One queue for all timers of the event loop.
+//! Timer queue of the event loop.
 //!
-//! Timers are never cancelled: most requests end long before their deadlines, and removing from a heap costs more
-//! than skipping. The owner says of each timer whether it is still pending; obsolete ones are dropped when they
-//! reach the head of the queue, or all together when the queue has grown too long.
+//! Timers are not cancelled, because most requests end long before their deadlines and removing an entry
+//! from a heap costs more than skipping it. A callback tells whether a timer is still pending. Obsolete
+//! timers are dropped when they reach the head of the queue, or in a purge when the queue has grown too
+//! long.
 
 use crate::gateway::endpoints::AttemptId;
 use crate::{RequestId, TimerToken};
@@ -12,24 +13,24 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The queue is not purged of obsolete timers below this length.
+/// Minimum queue length for a purge of obsolete timers.
 const MIN_PURGE_LENGTH: usize = 1024;
 
-/// What happens when a timer expires. Timers that expire at the same time fire in the order of these variants.
+/// A timer of the event loop. Timers with the same expiry fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The decision engine asked for it.
+    /// A timer set by the decision engine.
     Engine { token: TimerToken },
-    /// An attempt has had no response in time.
+    /// The deadline for the response to an attempt.
     AttemptDeadline { attempt: AttemptId },
-    /// A request has had no final answer in time.
+    /// The deadline for the final response to a request.
     AnswerDeadline { request: RequestId },
-    /// Idle connections are to be looked through.
+    /// The next cleanup of idle connections.
     ReapIdleConnections,
 }
 
-/// A time in whole microseconds since the queue was created. The engine's times carry a rounding error below a
-/// microsecond, so that two timers for one deadline would otherwise fire in a random order.
+/// Whole microseconds since the creation of the queue. The engine's timestamps have a rounding error below
+/// one microsecond, which would make two timers for the same deadline fire in random order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Tick(u64);
 
@@ -37,36 +38,34 @@
     const NEVER: Tick = Tick(u64::MAX);
 }
 
-/// A timer with its expiry. The order of the fields is the order of the queue.
+/// A timer with its expiry. The field order defines the queue order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
     expires_at: Tick,
     timer: Timer,
 }
 
-/// What the queue holds next.
+/// Result of [`TimerQueue::next`].
 pub(super) enum NextTimer {
-    /// This timer has expired and left the queue.
+    /// An expired timer, which has been removed from the queue.
     Expired(Timer),
-    /// The next one expires at this time.
+    /// Expiry of the next timer.
     ExpiresAt(Instant),
-    /// There is none.
-    Nothing,
+    /// The queue is empty.
+    Empty,
 }
 
-/// The timers of the event loop.
 pub(super) struct TimerQueue {
     created_at: Instant,
     queue: BinaryHeap<Reverse<ScheduledTimer>>,
-    /// The length at which the queue is purged next.
+    /// Queue length that triggers the next purge.
     purge_at_length: usize,
-    /// Until when the timer task sleeps.
+    /// Time until which the timer task sleeps.
     sleeping_until: Tick,
     wake_up: Rc<Notify>,
 }
 
 impl TimerQueue {
-    /// An empty queue.
     pub fn new() -> TimerQueue {
         TimerQueue {
             created_at: Instant::now(),
@@ -77,12 +76,13 @@
         }
     }
 
-    /// Is notified when a timer is scheduled that expires before the time that [`TimerQueue::next`] last gave.
+    /// Returns the notification for the timer task. It fires when a timer is scheduled that expires
+    /// before the time that [`TimerQueue::next`] last returned.
     pub fn wake_up(&self) -> Rc<Notify> {
         self.wake_up.clone()
     }
 
-    /// Adds a timer. `is_pending` says which of the others still mean anything.
+    /// Adds a timer. `is_pending` tells whether a timer is still needed, for purging the others.
     pub fn schedule(
         &mut self,
         expires_at: Instant,
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Takes the next pending timer if it has expired by `now`, or else says when it expires. Obsolete timers are
-    /// dropped, so that none of them wakes the timer task.
+    /// Removes and returns the next pending timer if it has expired by `now`, and returns its expiry
+    /// otherwise. Drops obsolete timers, so they do not wake the timer task.
     pub fn next(&mut self, now: Instant, is_pending: impl Fn(&Timer) -> bool) -> NextTimer {
         let now = self.tick_at(now);
         while let Some(Reverse(first)) = self.queue.peek() {
@@ -119,7 +119,7 @@
             }
         }
         self.sleeping_until = Tick::NEVER;
-        NextTimer::Nothing
+        NextTimer::Empty
     }
 
     fn tick_at(&self, instant: Instant) -> Tick {
