--- a/src/gateway/clients/connection.rs
+++ b/src/gateway/clients/connection.rs
@@ -12,7 +12,8 @@
 use tokio::sync::Notify;
 
 /// Timeout for receiving the first command of a connection, and for receiving each command from its first
-/// byte on. A client must also accept some response bytes within this time while any are unsent.
+/// byte on, even if bytes keep arriving slowly. A client must also accept some response bytes within this
+/// time while any are unsent.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Buffer size that each connection may use for its input, and again for its responses, even if the
 /// memory budgets are exhausted. Larger input buffers are released between commands.
@@ -90,7 +91,7 @@
         self.responses.borrow_mut().take_pending()
     }
 
-    /// Discards all responses, which ends the task.
+    /// Marks the output as failed, which ends the task.
     pub(super) fn fail(&self) {
         self.responses.borrow_mut().fail();
     }
@@ -108,7 +109,7 @@
         self.responses.borrow().has_unsent()
     }
 
-    /// Writes unsent bytes until the socket would block.
+    /// Writes as many unsent bytes as the socket accepts.
     pub(super) fn flush(&self) {
         self.responses.borrow_mut().flush(&self.socket);
     }
--- a/src/gateway/clients/connections.rs
+++ b/src/gateway/clients/connections.rs
@@ -143,8 +143,8 @@
     }
 }
 
-/// Entry of a connection in the table. Dropping it removes the connection and wakes tasks that wait for a
-/// free entry.
+/// Entry of a connection in the table. Dropping it removes the connection and notifies a task that waits for
+/// a free entry.
 pub(super) struct Registration {
     connections: Rc<ClientConnections>,
     id: RequestId,
--- a/src/gateway/clients/listener.rs
+++ b/src/gateway/clients/listener.rs
@@ -12,7 +12,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Delay before the next eviction attempt while the connection table stays full.
+/// Maximum delay before the next eviction attempt while the connection table is full.
 const FULL_TABLE_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Delay before the next `accept` after an error on the listening socket.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -22,22 +22,22 @@
 /// Must run inside a `LocalSet`.
 pub struct ClientListener {
     connections: Rc<ClientConnections>,
-    events: Rc<dyn ClientEventHandler>,
+    handler: Rc<dyn ClientEventHandler>,
     schema: Rc<RequestSchema>,
 }
 
 impl ClientListener {
     /// Creates a listener that registers connections in `connections` and reports their requests to
-    /// `events`.
+    /// `handler`.
     #[must_use]
     pub fn new(
         connections: Rc<ClientConnections>,
-        events: Rc<dyn ClientEventHandler>,
+        handler: Rc<dyn ClientEventHandler>,
         schema: RequestSchema,
     ) -> ClientListener {
         ClientListener {
             connections,
-            events,
+            handler,
             schema: Rc::new(schema),
         }
     }
@@ -104,24 +104,24 @@
     }
 
     fn start(&self, stream: TcpStream) {
-        let registration = self.connections.register(self.events.next_id(), stream);
+        let registration = self.connections.register(self.handler.next_id(), stream);
         let task = ConnectionTask::new(
             registration.connection.clone(),
-            self.events.clone(),
+            self.handler.clone(),
             self.schema.clone(),
         );
-        let events = self.events.clone();
+        let handler = self.handler.clone();
         spawn_local(async move {
             task.run().await;
-            disconnect(registration, &*events);
+            disconnect(registration, &*handler);
         });
     }
 }
 
 /// Reports the unanswered requests as disconnected, then removes the connection from the table.
-fn disconnect(registration: Registration, events: &dyn ClientEventHandler) {
+fn disconnect(registration: Registration, handler: &dyn ClientEventHandler) {
     for request in registration.connection.take_unanswered() {
-        events.handle_client_event(ClientEvent::Disconnected { request });
+        handler.handle_client_event(ClientEvent::Disconnected { request });
     }
     drop(registration);
 }
--- a/src/gateway/clients/responses.rs
+++ b/src/gateway/clients/responses.rs
@@ -67,7 +67,7 @@
         self.state.is_stalled(now, limit)
     }
 
-    /// Discards all responses. Nothing more is written.
+    /// Marks the output as failed. No further response is written.
     pub(super) fn fail(&mut self) {
         self.state.fail();
     }
@@ -107,7 +107,7 @@
         self.enforce_limits();
     }
 
-    /// Writes unsent bytes until the socket would block.
+    /// Writes as many unsent bytes as the socket accepts.
     pub(super) fn flush(&mut self, socket: &ClientSocket) {
         match socket.write(&self.unsent) {
             Ok(0) => {}
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -26,7 +26,7 @@
 
 pub(super) struct ConnectionTask {
     connection: Rc<ClientConnection>,
-    events: Rc<dyn ClientEventHandler>,
+    handler: Rc<dyn ClientEventHandler>,
     schema: Rc<RequestSchema>,
     /// Received input that is not consumed yet.
     received: Vec<u8>,
@@ -46,12 +46,12 @@
 impl ConnectionTask {
     pub(super) fn new(
         connection: Rc<ClientConnection>,
-        events: Rc<dyn ClientEventHandler>,
+        handler: Rc<dyn ClientEventHandler>,
         schema: Rc<RequestSchema>,
     ) -> ConnectionTask {
         ConnectionTask {
             connection,
-            events,
+            handler,
             schema,
             received: Vec::new(),
             read_since_batch: false,
@@ -214,7 +214,7 @@
             self.connection.fail();
             return;
         }
-        let is_active = |id| self.events.is_active(id);
+        let is_active = |id| self.handler.is_active(id);
         let request = match ClientRequest::parse(command, &self.schema, is_active) {
             Ok(request) => request,
             Err(error) => {
@@ -222,13 +222,13 @@
                 return self.connection.respond(response.as_bytes());
             }
         };
-        if !self.events.has_capacity_for(request.command_len()) {
+        if !self.handler.has_capacity_for(request.command_len()) {
             return self.connection.respond(b"-BUSY\r\n");
         }
         // The handler may answer during the call, so the place of the response is reserved first.
-        let id = self.events.next_id();
+        let id = self.handler.next_id();
         self.connection.reserve_response(id);
-        self.events
+        self.handler
             .handle_client_event(ClientEvent::RequestReceived {
                 request: id,
                 command: request,
--- a/src/gateway/clients/socket.rs
+++ b/src/gateway/clients/socket.rs
@@ -84,8 +84,8 @@
         self.stream.writable().await
     }
 
-    /// Waits until the client disconnects, even while earlier input is still unread. The end of the input
-    /// is reported with `PRIORITY` interest, and no other event is.
+    /// Waits until the client disconnects, even while earlier input is still unread. Uses `PRIORITY`
+    /// interest, for which the runtime reports the end of the input and nothing else.
     pub(super) async fn disconnected(&self) {
         while self
             .stream
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! Memory budgets that many connections share.
+//! Memory budgets that are shared by connections.
 
 use marlshelf::gateway::memory_budget::MemoryBudget;
 
@@ -6,19 +6,19 @@
 const ALWAYS_ALLOWED: usize = 20;
 
 #[test]
-fn large_reservation_is_told_to_release_when_the_budget_is_exceeded() {
+fn large_reservation_is_refused_when_the_budget_is_exceeded() {
     let budget = MemoryBudget::new(LIMIT);
     let (small, large) = (budget.reservation(), budget.reservation());
     assert!(large.set(90, ALWAYS_ALLOWED));
     assert!(
         small.set(20, ALWAYS_ALLOWED),
-        "every owner may use a little"
+        "every reservation may use the always-allowed amount"
     );
     assert!(!large.set(91, ALWAYS_ALLOWED));
 }
 
 #[test]
-fn small_reservation_is_told_to_release_only_beyond_what_is_always_allowed() {
+fn small_reservation_is_refused_only_above_the_always_allowed_amount() {
     let budget = MemoryBudget::new(LIMIT);
     let (small, large) = (budget.reservation(), budget.reservation());
     assert!(large.set(100, ALWAYS_ALLOWED));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn dropped_reservation_returns_to_the_budget() {
+fn dropped_reservation_is_returned_to_the_budget() {
     let budget = MemoryBudget::new(LIMIT);
     let (small, large) = (budget.reservation(), budget.reservation());
     assert!(large.set(90, ALWAYS_ALLOWED));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn reduced_reservation_returns_to_the_budget() {
+fn reduction_of_a_reservation_is_returned_to_the_budget() {
     let budget = MemoryBudget::new(LIMIT);
     let (first, second) = (budget.reservation(), budget.reservation());
     assert!(first.set(90, ALWAYS_ALLOWED));
--- a/tests/gateway/client_connections.rs
+++ b/tests/gateway/client_connections.rs
@@ -1,5 +1,5 @@
-//! How client connections are closed, also with input that the runtime has not seen yet, and how
-//! disconnects are noticed.
+//! Closing of client connections and detection of disconnects, also when the runtime has not polled the
+//! socket yet.
 
 use crate::client_listener::*;
 use crate::support::*;
@@ -60,7 +60,7 @@
         let mut partial = listener.connect_and_ping().await;
         send(&mut partial, &PING[..9]).await;
         let mut idle = listener.connect_and_ping().await;
-        // More than once: a part of a command that is not read yet has not begun to arrive.
+        // Repeated, because the timeout of a partial command starts when the gateway reads its first byte.
         let connections = listener.connections.clone();
         spawn_local(async move {
             loop {
@@ -71,13 +71,17 @@
         let expected = "-ERR protocol error: no whole command in time\r\n";
         assert_eq!(read_to_end(&mut silent).await, expected);
         assert_eq!(read_to_end(&mut partial).await, expected);
-        assert_eq!(exchange(&mut idle, PING).await, "+PONG", "pauses are fine");
+        assert_eq!(
+            exchange(&mut idle, PING).await,
+            "+PONG",
+            "a connection may be idle between commands"
+        );
     });
 }
 
 #[test]
 fn idle_connections_are_closed_after_two_seconds_while_the_table_is_over_half_full() {
-    /// The gateway's idle timeout while more than half of the table of eight is in use.
+    /// The gateway's idle timeout while more than half of the eight table entries are in use.
     const SHORT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
     run_local(async {
         let fixture = ListenerFixture::start().await;
@@ -88,39 +92,47 @@
         }
         fixture.connections.expire(before + SHORT_IDLE_TIMEOUT);
         for client in &mut clients {
-            assert_eq!(exchange(client, PING).await, "+PONG", "its time is not up");
+            assert_eq!(
+                exchange(client, PING).await,
+                "+PONG",
+                "the idle timeout has not elapsed"
+            );
         }
         let after = Instant::now();
         fixture
             .connections
             .expire(after + SHORT_IDLE_TIMEOUT + Duration::from_millis(1));
         for client in &mut clients {
-            assert_eq!(read_to_end(client).await, "", "its time is up");
+            assert_eq!(
+                read_to_end(client).await,
+                "",
+                "the idle timeout has elapsed"
+            );
         }
     });
 }
 
 #[test]
-fn disconnect_that_the_runtime_has_not_seen_yet_is_known() {
+fn disconnect_not_yet_seen_by_the_runtime_is_detected() {
     run_local(async {
         let listener = ListenerFixture::start().await;
         let client = listener.connect_and_ping().await;
         let _other = listener.connect_and_ping().await;
         assert_eq!(listener.connections.disconnected_count(), 0);
         drop(client);
-        // The runtime does not run here, so only the socket itself can know.
+        // The loop never yields to the runtime, so only a query of the socket can detect the disconnect.
         let started = Instant::now();
         while listener.connections.disconnected_count() == 0 {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "only the runtime would see it"
+                "the socket query did not detect the disconnect in time"
             );
         }
     });
 }
 
 #[test]
-fn protocol_error_is_reported_behind_earlier_responses_and_closes() {
+fn protocol_error_follows_earlier_responses_and_closes_the_connection() {
     run_local(async {
         let listener = ListenerFixture::start().await;
         let mut client = listener.connect().await;
@@ -145,7 +157,7 @@
         let mut client = listener.connect().await;
         send(&mut client, &[request(1), request(2)].concat()).await;
         listener.handler.wait_for_requests(2).await;
-        // It cannot be written before the first one is answered.
+        // The second response cannot be written before the first one.
         listener.handler.answer(1, &"x".repeat((1 << 20) + 1));
         wait_until(|| listener.connections.is_empty()).await;
         let first = listener.handler.received.borrow()[0].id;
--- a/tests/gateway/client_listener.rs
+++ b/tests/gateway/client_listener.rs
@@ -1,4 +1,4 @@
-//! Client connections with a stub handler, which answers requests when the test says so.
+//! Fixture for client connections: a listener with a stub handler that answers requests on demand.
 
 use crate::support::{ANY_PORT, PING, TEST_TIMEOUT};
 use marlshelf::gateway::clients::{
@@ -16,24 +16,24 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::timeout;
 
-/// A valid tenant key, which is also a valid request id.
+/// A valid tenant key, also usable as a request id.
 pub const TENANT: &str = "00000000b4d65521";
 /// The fields of a valid request.
 pub const VALID_FIELDS: &str = "c=read,t=p,d=900,units=1,spread=1,first=0";
 
-/// A request as the handler received it.
+/// A request that the handler received.
 pub struct Received {
     pub id: RequestId,
     pub request: ClientRequest,
     pub connection: Rc<ClientConnection>,
 }
 
-/// Records the requests and disconnects that it is notified of.
+/// Records received requests and disconnects.
 #[derive(Default)]
 pub struct StubHandler {
     last_id: Cell<RequestId>,
     pub is_overloaded: Cell<bool>,
-    /// The answer that it gives to each request while it handles the event.
+    /// Response that the handler gives to each request during the event call, if set.
     pub immediate_answer: Cell<Option<&'static [u8]>>,
     pub active_client_ids: RefCell<Vec<u64>>,
     pub received: RefCell<Vec<Received>>,
@@ -76,7 +76,7 @@
 }
 
 impl StubHandler {
-    /// Answers the request that was received at this index.
+    /// Answers the request with this index in the order of receipt.
     pub fn answer(&self, index: usize, response: &str) {
         let received = self.received.borrow();
         received[index]
@@ -90,7 +90,7 @@
     }
 }
 
-/// A client listener with its connections and its handler.
+/// A client listener with its connection table and handler.
 pub struct ListenerFixture {
     address: SocketAddr,
     pub connections: Rc<ClientConnections>,
@@ -100,8 +100,8 @@
 impl ListenerFixture {
     /// Starts a listener that accepts connections.
     pub async fn start() -> ListenerFixture {
-        let socket = TcpListener::bind(ANY_PORT).await.expect("a port");
-        let address = socket.local_addr().expect("bound");
+        let socket = TcpListener::bind(ANY_PORT).await.expect("a free port");
+        let address = socket.local_addr().expect("a local address");
         let connections = ClientConnections::new(8, 1 << 20);
         let handler = Rc::new(StubHandler::default());
         let schema = RequestSchema::new(&settings());
@@ -116,10 +116,12 @@
 
     /// Opens a client connection.
     pub async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.address).await.expect("connected")
+        TcpStream::connect(self.address)
+            .await
+            .expect("a connection")
     }
 
-    /// A client that has received the response to a first command.
+    /// Opens a connection and completes a PING on it.
     pub async fn connect_and_ping(&self) -> TcpStream {
         let mut client = self.connect().await;
         assert_eq!(exchange(&mut client, PING).await, "+PONG");
@@ -141,7 +143,7 @@
     .expect("valid settings")
 }
 
-/// A command in the client protocol.
+/// Encodes a command in the client protocol.
 pub fn command(parts: &[&str]) -> Vec<u8> {
     let mut command = Vec::new();
     resp::put_number(&mut command, b'*', parts.len());
@@ -151,18 +153,18 @@
     command
 }
 
-/// A valid request with this client-chosen id.
+/// Encodes a valid request with this client-chosen id.
 pub fn request(id: u64) -> Vec<u8> {
     command(&["Q.ASK", TENANT, &format!("{id:016x}"), VALID_FIELDS])
 }
 
-/// Gives other tasks turns until the condition holds.
+/// Yields to other tasks until the condition holds.
 pub async fn wait_until(condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "the condition is never met"
+            "the condition was not met in time"
         );
         yield_now().await;
     }
@@ -170,20 +172,23 @@
 
 /// Sends bytes to the gateway.
 pub async fn send(client: &mut TcpStream, bytes: &[u8]) {
-    client.write_all(bytes).await.expect("written");
+    client
+        .write_all(bytes)
+        .await
+        .expect("the bytes are written");
 }
 
-/// Reads a line without its terminator.
+/// Reads a line and removes its terminator.
 pub async fn read_line(client: &mut TcpStream) -> String {
     let mut line = Vec::new();
     while !line.ends_with(b"\r\n") {
         let byte = timeout(TEST_TIMEOUT, client.read_u8())
             .await
-            .expect("a response");
-        line.push(byte.expect("the connection is open"));
+            .expect("a response in time");
+        line.push(byte.expect("an open connection"));
     }
     line.truncate(line.len() - 2);
-    String::from_utf8(line).expect("text")
+    String::from_utf8(line).expect("valid UTF-8")
 }
 
 /// Sends a command and reads one line of the response.
--- a/tests/gateway/client_requests.rs
+++ b/tests/gateway/client_requests.rs
@@ -1,14 +1,14 @@
-//! How requests of clients are parsed, validated and encoded for an endpoint.
+//! Parsing, validation and encoding of client requests.
 
 use crate::client_listener::*;
 use crate::support::*;
 use marlshelf::{ClassIndex, PlanIndex, Tokens};
 use std::time::Duration;
 
-/// The bytes of an invalid request, and the error in its response.
+/// An invalid request, and the error text that follows `-ERR ` in its response.
 type InvalidRequest = (Vec<u8>, &'static str);
 
-/// A request with these fields, of the command for idempotent classes or for all others.
+/// Encodes a request with this command name and these fields.
 fn request_with_fields(name: &str, fields: &str) -> Vec<u8> {
     command(&[name, TENANT, TENANT, fields])
 }
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn invalid_request_is_answered_with_its_error_and_stays_connected() {
+fn invalid_request_gets_its_error_and_the_connection_stays_open() {
     let cases = [
         requests_with_invalid_parts(),
         requests_with_invalid_fields(),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn valid_request_is_handled_with_its_fields() {
+fn fields_of_a_valid_request_are_parsed() {
     run_local(async {
         let listener = ListenerFixture::start().await;
         let mut client = listener.connect().await;
--- a/tests/gateway/client_responses.rs
+++ b/tests/gateway/client_responses.rs
@@ -1,11 +1,11 @@
-//! The order of responses, and the answers that a connection gives without the handler.
+//! Order of responses, and commands that the connection answers without the handler.
 
 use crate::client_listener::*;
 use crate::support::*;
 use tokio::io::AsyncReadExt;
 
 #[test]
-fn responses_leave_in_the_order_of_their_requests() {
+fn responses_are_written_in_request_order() {
     run_local(async {
         let listener = ListenerFixture::start().await;
         let mut client = listener.connect().await;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn answer_given_while_the_request_is_handled_is_written() {
+fn answer_given_during_the_event_call_is_written() {
     run_local(async {
         let listener = ListenerFixture::start().await;
         listener.handler.immediate_answer.set(Some(b"+now\r\n"));
@@ -83,7 +83,7 @@
         for (sent, expected) in cases {
             send(&mut client, &sent).await;
             let mut response = vec![0; expected.len()];
-            client.read_exact(&mut response).await.expect("answered");
+            client.read_exact(&mut response).await.expect("a response");
             assert_eq!(String::from_utf8_lossy(&response), expected);
         }
     });
--- a/tests/gateway/gateway.rs
+++ b/tests/gateway/gateway.rs
@@ -1,4 +1,4 @@
-//! The event loop between clients and endpoints, where a test has to force the order of events.
+//! Tests of the event loop between clients and endpoints that force a specific order of events.
 
 use crate::support::*;
 use marlshelf::gateway::clients::{ClientConnections, ClientListener, RequestSchema};
@@ -16,7 +16,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// The size of a socket buffer that takes only the beginning of a long command.
+/// Size of a socket buffer that accepts only the beginning of a long command.
 const SMALL_SOCKET_BUFFER: usize = 4096;
 
 fn ready_endpoint(name: &str, address: SocketAddr) -> ListedEndpoint {
@@ -56,30 +56,31 @@
 }
 
 async fn bind_any() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind(ANY_PORT).await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind(ANY_PORT).await.expect("a free port");
+    let address = listener.local_addr().expect("a local address");
     (listener, address)
 }
 
-/// A gateway that knows one endpoint, with an idle connection to it that takes little at once, and the endpoint's
-/// side of that connection.
+/// Creates a gateway with one listed endpoint and an idle connection to it with small socket buffers. Returns
+/// the gateway and the endpoint's side of that connection.
 async fn gateway_with_slow_connection(listener: &TcpListener) -> (EventLoopHandle, TcpStream) {
     SockRef::from(listener)
         .set_recv_buffer_size(SMALL_SOCKET_BUFFER)
-        .expect("a socket");
-    let address = listener.local_addr().expect("bound");
+        .expect("the buffer size is set");
+    let address = listener.local_addr().expect("a local address");
     let gateway = EventLoop::new(test_configuration(address), None, 8).expect("valid settings");
     list_snapshot(&gateway, vec![ready_endpoint("s-1", address)]);
-    let stream = TcpStream::connect(address).await.expect("connected");
+    let stream = TcpStream::connect(address).await.expect("a connection");
     SockRef::from(&stream)
         .set_send_buffer_size(SMALL_SOCKET_BUFFER)
-        .expect("a socket");
-    let (endpoint_side, _) = listener.accept().await.expect("connected");
+        .expect("the buffer size is set");
+    let (endpoint_side, _) = listener.accept().await.expect("a connection");
     gateway.borrow_mut().adopt_connection("s-1", stream);
     (gateway, endpoint_side)
 }
 
-/// A client that has sent a request of this class with a body of this length, and the table of clients it is in.
+/// Connects a client that sends a request of this class with a body of this length. Returns the connection
+/// table and the client.
 async fn client_with_request(
     gateway: &EventLoopHandle,
     class: &str,
@@ -90,11 +91,11 @@
     let schema = RequestSchema::new(&test_configuration(address).document);
     let listener = ClientListener::new(clients.clone(), gateway.clone(), schema);
     tokio::task::spawn_local(async move { listener.accept(&socket).await });
-    let mut client = TcpStream::connect(address).await.expect("connected");
+    let mut client = TcpStream::connect(address).await.expect("a connection");
     client
         .write_all(&command(class, "9b1f03aa5c7e2d41", body_length))
         .await
-        .expect("written");
+        .expect("the bytes are written");
     (clients, client)
 }
 
@@ -108,24 +109,24 @@
     command
 }
 
-/// Waits until a connection has bytes to read, without reading them.
-async fn wait_for_bytes(stream: &TcpStream, what: &str) {
+/// Waits until a connection has unread bytes, without reading them.
+async fn wait_for_bytes(stream: &TcpStream, expected: &str) {
     timeout(TEST_TIMEOUT, stream.peek(&mut [0]))
         .await
-        .expect(what)
-        .expect(what);
+        .expect(expected)
+        .expect(expected);
 }
 
-/// Accepts a connection that the gateway opens.
-async fn accept(listener: &TcpListener, what: &str) -> TcpStream {
+/// Accepts a connection opened by the gateway.
+async fn accept(listener: &TcpListener, expected: &str) -> TcpStream {
     let (stream, _) = timeout(TEST_TIMEOUT, listener.accept())
         .await
-        .expect(what)
-        .expect("connected");
+        .expect(expected)
+        .expect("a connection");
     stream
 }
 
-/// Reads until a command is complete.
+/// Reads one complete command.
 async fn read_command(stream: &mut TcpStream) -> Vec<u8> {
     let mut received = Vec::new();
     while resp::parse_command(&received)
@@ -135,7 +136,7 @@
         timeout(TEST_TIMEOUT, stream.read_buf(&mut received))
             .await
             .expect("a command in time")
-            .expect("open");
+            .expect("an open connection");
     }
     received
 }
@@ -143,25 +144,26 @@
 async fn wait_for_client_closed(clients: &ClientConnections) {
     timeout(TEST_TIMEOUT, clients.connection_closed())
         .await
-        .expect("the gateway notices the disconnect");
+        .expect("the gateway detects the disconnect");
 }
 
-/// Ends a client's sending without a turn for the runtime, and waits until the socket itself knows.
+/// Half-closes a client connection without yielding to the runtime, and waits until a query of the gateway's
+/// socket detects it.
 fn disconnect_unseen_by_runtime(client: &TcpStream, clients: &ClientConnections) {
     SockRef::from(client)
         .shutdown(Shutdown::Write)
-        .expect("open");
+        .expect("an open connection");
     let started = Instant::now();
     while clients.disconnected_count() == 0 {
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "only the runtime would see the disconnect"
+            "the socket query did not detect the disconnect in time"
         );
     }
 }
 
-/// Connects when the gate opens. With `only` set, connections to other addresses do not wait for it. Each connect
-/// is announced when it begins.
+/// Returns a connector that waits until the gate is open. If `only` is set, connections to other addresses do
+/// not wait. The receiver gets the address of each connect when it starts.
 fn gated_connector(
     gate: &watch::Receiver<bool>,
     only: Option<SocketAddr>,
@@ -205,7 +207,7 @@
     });
 }
 
-/// Whether a retry is written on a connection that opens this long after the first attempt began.
+/// Returns whether a retry is sent on a connection that opens this long after the start of the first attempt.
 async fn is_retried_when_connected_after(class: &str, delay: Duration) -> bool {
     let (endpoint, address) = bind_any().await;
     let (gateway, first_connection) = gateway_with_slow_connection(&endpoint).await;
@@ -215,13 +217,13 @@
     let (_clients, _client) = client_with_request(&gateway, class, 4).await;
     wait_for_bytes(&first_connection, "the first attempt").await;
     let first_attempt = Instant::now();
-    // The first attempt may have been executed. Its retry goes to the other endpoint of the cell.
+    // The first attempt may have been executed. Its retry goes to the other endpoint in the cell.
     list_change(&gateway, 2, ready_endpoint("s-2", address));
     drop(first_connection);
     timeout(TEST_TIMEOUT, connects.recv())
         .await
         .expect("a retry")
-        .expect("open");
+        .expect("an open connection");
     sleep_until(first_attempt + delay).await;
     open_gate.send_replace(true);
     let mut second_connection = accept(&endpoint, "the connection for the retry").await;
@@ -260,24 +262,29 @@
             yield_now().await;
         }
 
-        // The quick endpoint is tried once the connect to the slow one has taken too long.
+        // The retry goes to the quick endpoint after the connect to the slow one has taken too long.
         list_change(&gateway, 3, quick_endpoint.clone());
         let mut connection = accept(&quick, "a retry").await;
         wait_for_bytes(&connection, "the command").await;
         connection
             .write_all(b"*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n")
             .await
-            .expect("written");
+            .expect("the bytes are written");
         let mut answer = [0; 8];
-        client.read_exact(&mut answer).await.expect("answered");
+        client.read_exact(&mut answer).await.expect("a response");
         assert_eq!(&answer, b"$2\r\nhi\r\n");
 
-        // By the next request the slow endpoint accepts at once. It gets that request and nothing else.
+        // When the next request arrives, the slow endpoint accepts immediately. It receives that request and
+        // nothing else.
         open_gate.send_replace(true);
         let removed = in_state(&quick_endpoint, EndpointState::Removed);
         list_change(&gateway, 4, removed);
         let (_more_clients, _next_client) = client_with_request(&gateway, "pay", 5).await;
-        let mut connection = accept(&slow, "the next request tries the slow endpoint").await;
+        let mut connection = accept(
+            &slow,
+            "a connection to the slow endpoint for the next request",
+        )
+        .await;
         let received = read_command(&mut connection).await;
         assert!(
             received.ends_with(b"$5\r\nxxxxx\r\n"),
@@ -298,14 +305,15 @@
         client
             .write_all(&[PING.repeat(127), last_command].concat())
             .await
-            .expect("written");
-        // More turns than the commands need to fill the pipeline, which leaves no space for the last one.
+            .expect("the bytes are written");
+        // Yields more often than the commands need to fill the pipeline, which leaves no room for the last
+        // one.
         for _ in 0..1000 {
             yield_now().await;
         }
         assert_eq!(gateway.borrow().requests_received(), 1);
         disconnect_unseen_by_runtime(&client, &clients);
-        // A restart of the endpoint fails the first request, which makes space in the pipeline.
+        // The restart of the endpoint fails the first request, which frees a place in the pipeline.
         let restarted = ListedEndpoint {
             started_at: Timestamp(1.0),
             ..ready_endpoint("s-1", address)
@@ -315,7 +323,7 @@
         assert_eq!(
             gateway.borrow().requests_received(),
             1,
-            "the last command was started"
+            "the last command was dispatched"
         );
     });
 }
@@ -330,18 +338,21 @@
         let batch: Vec<u8> = (0..100)
             .flat_map(|k| command("pay", &format!("{k:016x}"), 4))
             .collect();
-        client.write_all(&batch).await.expect("written");
+        client
+            .write_all(&batch)
+            .await
+            .expect("the bytes are written");
         while gateway.borrow().requests_received() == 1 {
             yield_now().await;
         }
         let received = gateway.borrow().requests_received();
         disconnect_unseen_by_runtime(&client, &clients);
         wait_for_client_closed(&clients).await;
-        assert!(received < 100, "the whole batch was started in one turn");
+        assert!(received < 100, "the whole batch was dispatched in one turn");
         assert_eq!(
             gateway.borrow().requests_received(),
             received,
-            "further commands were started"
+            "further commands were dispatched"
         );
     });
 }
@@ -353,23 +364,27 @@
         let (gateway, endpoint_side) = gateway_with_slow_connection(&endpoint).await;
         let (clients, mut client) = client_with_request(&gateway, "pay", 4).await;
         wait_for_bytes(&endpoint_side, "the first request").await;
-        // The pipeline is full before the last command, which stays unread in the socket and hides the end there.
-        client.write_all(&PING.repeat(127)).await.expect("written");
+        // The pipeline is full before the last command, which stays unread in the socket and hides the end of
+        // input from a peek.
+        client
+            .write_all(&PING.repeat(127))
+            .await
+            .expect("the bytes are written");
         for _ in 0..1000 {
             yield_now().await;
         }
         client
             .write_all(&command("pay", "00000000000000ff", 4))
             .await
-            .expect("written");
+            .expect("the bytes are written");
         SockRef::from(&client)
             .shutdown(Shutdown::Write)
-            .expect("open");
+            .expect("an open connection");
         wait_for_client_closed(&clients).await;
         assert_eq!(
             gateway.borrow().requests_received(),
             1,
-            "the last command was started"
+            "the last command was dispatched"
         );
     });
 }
--- a/tests/gateway/resp.rs
+++ b/tests/gateway/resp.rs
@@ -1,4 +1,4 @@
-//! Parsing and encoding of RESP2.
+//! RESP2 parsing and encoding.
 
 use marlshelf::gateway::resp::{
     MAX_COMMAND_LEN, MAX_VALUE_LEN, ProtocolError, Reply, parse_command, parse_reply, put_bulk,
@@ -7,14 +7,14 @@
 
 const COMMAND: &[u8] = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
 const SERVED: &[u8] = b"*3\r\n$2\r\nhi\r\n$6\r\ncost=3\r\n$8\r\nutil=0.5\r\n";
-/// An array of three elements with the first one, which takes the bytes 4 to 12.
-const VALUE_ALONE: &[u8] = b"*3\r\n$2\r\nhi\r\n";
+/// The header of an array of three elements and its first element, which occupies bytes 4 to 12.
+const VALUE_ONLY: &[u8] = b"*3\r\n$2\r\nhi\r\n";
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// An array of bulk strings, each of so many bytes.
+/// Encodes an array of bulk strings with these lengths.
 fn command_with_parts(lengths: &[usize]) -> Vec<u8> {
     let mut command = Vec::new();
     put_number(&mut command, b'*', lengths.len());
@@ -24,12 +24,12 @@
     command
 }
 
-fn whole_reply(bytes: &[u8]) -> (Reply, usize) {
-    parse_reply(bytes).expect("valid").expect("whole")
+fn complete_reply(bytes: &[u8]) -> (Reply, usize) {
+    parse_reply(bytes).expect("valid").expect("complete")
 }
 
 #[test]
-fn command_is_parsed_only_when_whole() {
+fn command_is_parsed_only_when_complete() {
     for length in 0..COMMAND.len() {
         assert_eq!(
             parse_command(&COMMAND[..length]),
@@ -37,32 +37,32 @@
             "{length} bytes"
         );
     }
-    let command = parse_command(COMMAND).expect("valid").expect("whole");
+    let command = parse_command(COMMAND).expect("valid").expect("complete");
     assert_eq!(command.part_count(), 2);
     assert_eq!(command.bytes(), COMMAND);
     assert_eq!(command.part(0), b"PING");
     assert_eq!(command.part_range(0), 8..12);
     assert_eq!(command.part(1), b"");
-    assert_eq!(command.part(9), b"", "there is no such part");
+    assert_eq!(command.part(9), b"", "a missing part is empty");
 }
 
 #[test]
 fn parsed_command_ends_where_the_next_one_begins() {
     let pipelined = [COMMAND, b"*1\r\n$4\r\nPI"].concat();
-    let command = parse_command(&pipelined).expect("valid").expect("whole");
+    let command = parse_command(&pipelined).expect("valid").expect("complete");
     assert_eq!(command.bytes(), COMMAND);
 }
 
 #[test]
-fn parts_beyond_the_kept_ones_are_counted() {
+fn parts_without_a_recorded_position_are_counted() {
     let bytes = command_with_parts(&[1, 1, 1, 1, 1, 1, 1]);
-    let command = parse_command(&bytes).expect("valid").expect("whole");
+    let command = parse_command(&bytes).expect("valid").expect("complete");
     assert_eq!(command.part_count(), 7);
     assert_eq!((command.part(4), command.part(5)), (&b"x"[..], &b""[..]));
 }
 
 #[test]
-fn malformed_command_is_an_error_as_soon_as_it_is_known() {
+fn malformed_command_is_rejected_before_it_is_complete() {
     let long_line = [b"*".as_slice(), &[b'1'; 2000]].concat();
     let too_long = command_with_parts(&[MAX_VALUE_LEN, MAX_COMMAND_LEN - MAX_VALUE_LEN]);
     let cases: [(&[u8], ProtocolError); 16] = [
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn command_that_exceeds_the_limit_is_an_error_before_it_is_whole() {
+fn command_over_the_length_limit_is_rejected_before_it_is_complete() {
     let whole = command_with_parts(&[MAX_VALUE_LEN, MAX_VALUE_LEN]);
     assert_eq!(parse_command(&whole[..MAX_COMMAND_LEN]), Ok(None));
     assert_eq!(
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn errors_read_as_clients_know_them() {
+fn protocol_error_texts_match_the_wire_protocol() {
     let cases = [
         (ProtocolError::MissingCarriageReturn, "a line without CR LF"),
         (ProtocolError::LineTooLong, "a line is too long"),
@@ -136,14 +136,14 @@
     for length in 0..SERVED.len() {
         assert_eq!(parse_reply(&SERVED[..length]), Ok(None), "{length} bytes");
     }
-    let (reply, length) = whole_reply(SERVED);
+    let (reply, length) = complete_reply(SERVED);
     let Reply::Served {
         value,
         used: Some(used),
         report: Some(report),
     } = reply
     else {
-        panic!("not served: {reply:?}")
+        panic!("expected a successful reply, got {reply:?}")
     };
     assert_eq!(length, SERVED.len());
     assert_eq!(&SERVED[value], b"$2\r\nhi\r\n");
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn value_of_a_reply_is_kept_when_what_follows_is_malformed() {
+fn reply_value_is_kept_if_the_following_elements_are_malformed() {
     let cases: [(&[u8], Option<std::ops::Range<usize>>); 6] = [
         (b":7\r\n$-1\r\n", None),
         (b"$-1\r\n+util\r\n", None),
@@ -162,19 +162,19 @@
         (b"$6\r\ncost=3\r\n#", Some(16..22)),
     ];
     for (rest, used) in cases {
-        let bytes = [VALUE_ALONE, rest].concat();
+        let bytes = [VALUE_ONLY, rest].concat();
         let expected = Reply::Served {
             value: 4..12,
             used,
             report: None,
         };
-        assert_eq!(whole_reply(&bytes), (expected, 0), "{}", text(rest));
+        assert_eq!(complete_reply(&bytes), (expected, 0), "{}", text(rest));
     }
 }
 
 #[test]
-fn error_line_is_a_reply() {
-    assert_eq!(whole_reply(b"-BUSY\r\n"), (Reply::Error(1..5), 7));
+fn error_line_is_parsed_as_a_reply() {
+    assert_eq!(complete_reply(b"-BUSY\r\n"), (Reply::Error(1..5), 7));
     assert_eq!(parse_reply(b"-BUSY\r"), Ok(None));
 }
 
--- a/tests/process/client_connections.rs
+++ b/tests/process/client_connections.rs
@@ -1,4 +1,5 @@
-//! Client connections: invalid input, timeouts, duplicate request ids and the connection table.
+//! Client connections: invalid commands, timeouts, duplicate request ids, and eviction from the connection
+//! table.
 
 use crate::support::*;
 use std::io::Write;
@@ -8,7 +9,7 @@
     resp_command(&["Q.ASK", TENANT, REQUEST_ID, fields])
 }
 
-/// Commands that are well-formed RESP and no valid request.
+/// Commands that are well-formed RESP but not valid requests.
 fn invalid_commands() -> Vec<Vec<u8>> {
     let valid_fields = "c=read,t=p,d=9,units=1,spread=1,first=0";
     let mut commands = vec![
@@ -59,7 +60,7 @@
     client.expect_pong();
     client.send("GET / HTTP/1.1\r\n\r\n");
     client.expect_reply_prefix("-ERR protocol error");
-    client.expect_close("it sent something that is not RESP");
+    client.expect_close("its input was not valid RESP");
     fleet
         .endpoint
         .expect_no_new_connection("no invalid command is forwarded");
@@ -98,7 +99,7 @@
         .expect_no_new_connection("the duplicates are rejected");
 }
 
-/// Sends the start of a command and then its next argument, a byte at a time, until the connection is closed.
+/// Sends the beginning of a command and then its next argument byte by byte, until the connection is closed.
 fn send_command_slowly(client: &Connection) {
     let mut stream = client
         .stream
@@ -107,7 +108,7 @@
         .expect("the socket can be cloned");
     stream
         .write_all(b"*2\r\n$4\r\nPING\r\n$60000\r\n")
-        .expect("the connection takes the bytes");
+        .expect("the bytes are written");
     thread::spawn(move || {
         while stream.write_all(b"x").is_ok() {
             thread::sleep(CONNECTION_REUSE_PAUSE);
@@ -138,7 +139,7 @@
         );
         client.expect_close(case);
     }
-    // A client that has sent a command may pause before the next one.
+    // A client that has completed a command may be idle before the next one.
     between_commands.expect_pong();
     in_flight.complete("still here");
 }
@@ -149,14 +150,14 @@
     let mut client = fleet.gateway.connect();
     let _pooled = complete_on_new_connection(&mut client, read_request(5000), &fleet.endpoint, "x");
     let _silent: Vec<Connection> = (0..60).map(|_| fleet.gateway.connect()).collect();
-    // The gateway serves the last connection, so it has accepted all, and evicted some of them.
+    // The gateway answers on the last connection, so it has accepted all earlier ones and evicted some.
     let mut last = fleet.gateway.connect();
     last.expect_pong();
     client.expect_pong();
 }
 
-/// Connects clients that send this. Their input is there when the gateway accepts them, so that none of them counts as
-/// silent, however long the test takes.
+/// Connects clients that send `input`. The gateway is suspended until all input has arrived, so none of the
+/// clients counts as silent, even if the test runs slowly.
 fn clients_with_input(gateway: &GatewayProcess, count: usize, input: &[u8]) -> Vec<Connection> {
     gateway.suspend();
     let mut clients: Vec<Connection> = (0..count).map(|_| gateway.connect()).collect();
@@ -170,13 +171,14 @@
 #[test]
 fn idle_clients_are_closed_early_while_the_connection_table_is_over_half_full() {
     let fleet = SingleEndpoint::configured(|config| config.socket_limit = 64);
-    // The table holds 21: these are more than half of it, and fit.
+    // The table has 21 entries, so 16 clients fit and occupy more than half of it.
     let mut idle = clients_with_input(&fleet.gateway, 16, &ping_command());
     for client in &mut idle {
         client.expect_reply("+PONG");
     }
-    // This one comes after the others have fallen idle, and its time for a command is the longer one. By the gateway's
-    // own clock the first of them is closed before it is rejected, or together with it.
+    // This client connects after the others have become idle, and its request timeout is longer than their
+    // idle timeout. By the gateway's clock, the first idle client is closed no later than this one is
+    // rejected.
     let mut partial = clients_with_input(&fleet.gateway, 1, PARTIAL_PING).remove(0);
     partial.expect_reply_prefix("-ERR protocol error");
     fleet.gateway.wait_until_input_is_processed();
@@ -195,5 +197,5 @@
         client.expect_pong();
         clients.push(client);
     }
-    clients[0].expect_close("it has been idle for longest");
+    clients[0].expect_close("it has been idle longest");
 }
--- a/tests/process/client_disconnects_at_shutdown.rs
+++ b/tests/process/client_disconnects_at_shutdown.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect during a graceful shutdown: their waiting requests are not forwarded any more.
+//! Clients that disconnect during a graceful shutdown: their waiting requests must not be forwarded.
 
 use crate::support::*;
 
@@ -24,7 +24,8 @@
     check_once_set_up(check_waiting_request_with_half_close);
 }
 
-/// Has the gateway find a released permit and the client's disconnect at once, during its shutdown.
+/// During a shutdown, makes the gateway detect a released permit and the client's disconnect at the same
+/// time.
 fn check_permit_released_with_disconnect(disconnect: Disconnect) -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::with_concurrency_limit(1);
     let mut waiting = fleet.gateway.connect();
@@ -50,14 +51,14 @@
     }
 }
 
-/// Has the gateway find the answers to requests in flight, further requests and the clients' disconnects at once,
-/// during its shutdown.
+/// During a shutdown, makes the gateway detect responses to requests in flight, further requests, and the
+/// clients' disconnects at the same time.
 fn check_requests_with_disconnect(disconnect: Disconnect) -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::with_longest_waits();
     let mut group = RequestGroup::start(&fleet, || read_request(LONGEST_DEADLINE_MS));
     let pooled = pooled_connection(&fleet.endpoint, &fleet.gateway);
     let suspended = SuspendedGateway::while_shutting_down(&fleet.gateway)?;
-    // While the gateway waits for these answers it reads nothing more from the clients.
+    // Until it receives these responses, the gateway reads no further input from the clients.
     group.answer_all("first");
     for client in &mut group.clients {
         client.send(read_request(LONGEST_DEADLINE_MS));
--- a/tests/process/client_disconnects_during_attempt.rs
+++ b/tests/process/client_disconnects_during_attempt.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect while an attempt is in flight: the request is not retried once that attempt fails.
+//! Clients that disconnect while an attempt is in flight: the request must not be retried if the attempt
+//! fails.
 
 use crate::support::*;
 
@@ -32,7 +33,7 @@
     );
 }
 
-/// How an attempt fails.
+/// The way in which an attempt fails.
 #[derive(Clone, Copy, Debug)]
 enum AttemptFailure {
     ConnectionClosed,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Has the gateway find an attempt's failure and the client's disconnect at once.
+/// Makes the gateway detect an attempt's failure and the client's disconnect at the same time.
 fn check_failure_with_disconnect(
     case: DisconnectCase,
     failure: AttemptFailure,
--- a/tests/process/client_disconnects_in_groups.rs
+++ b/tests/process/client_disconnects_in_groups.rs
@@ -1,8 +1,9 @@
-//! Many clients that disconnect at once while their requests wait: none of the requests is forwarded.
+//! Many clients that disconnect at the same time while their requests wait: none of the requests may be
+//! forwarded.
 
 use crate::support::*;
 
-/// Connects so many clients one after the other, each of which sends a request.
+/// Connects `count` clients. Each sends a request before the next one connects.
 fn clients_with_requests(gateway: &GatewayProcess, count: usize) -> Vec<Connection> {
     let connect_and_send = |_| {
         let mut client = gateway.connect();
@@ -12,7 +13,7 @@
     (0..count).map(connect_and_send).collect()
 }
 
-/// Connects so many clients, which then send a request each.
+/// Connects `count` clients, and then sends one request from each.
 fn clients_that_send_together(
     gateway: &GatewayProcess,
     count: usize,
@@ -25,7 +26,8 @@
     clients
 }
 
-/// Has the gateway find released permits and the disconnects of all clients that wait for one at once.
+/// Makes the gateway detect released permits and the disconnects of all clients that wait for one at the same
+/// time.
 fn check_group_waiting_for_permits(disconnect: Disconnect) {
     const PERMITS: usize = 100;
     let fleet = SingleEndpoint::with_concurrency_limit(PERMITS);
@@ -73,9 +75,10 @@
     }
 }
 
-/// Has the gateway find quota responses and the disconnects of the clients that wait for them at once.
+/// Makes the gateway detect quota responses and the disconnects of the clients that wait for them at the same
+/// time.
 fn check_group_waiting_for_quota_responses(disconnect: Disconnect) {
-    // Long enough that no request is forwarded because its quota owner does not answer.
+    // The objective is so long that no request is forwarded because its quota owner does not respond.
     let pair = GatewayWithPeer::with_latency_objective(600_000);
     let pooled = pooled_connection(&pair.endpoint, &pair.gateway);
     let request = || read_request_owned_by_peer(LONGEST_DEADLINE_MS);
@@ -99,7 +102,8 @@
     }
 }
 
-/// Has the gateway find a completed connection and the disconnects of the clients that wait for one at once.
+/// Makes the gateway detect a completed connection and the disconnects of the clients that wait for one at
+/// the same time.
 fn check_group_waiting_for_connections(disconnect: Disconnect) {
     let fleet = ConnectingEndpoint::start();
     let gateway = &fleet.gateway;
@@ -107,9 +111,9 @@
     wait_until_connecting(fleet.backlog.address(), waiting.len());
     gateway.suspend();
     let endpoint = StandInEndpoint::with_listener(fleet.backlog.listener);
-    // The connection that filled the backlog.
+    // This connection only filled the backlog.
     drop(endpoint.next_connection());
-    // One connection completes before the clients disconnect, the others afterwards, or never.
+    // One connection completes before the clients disconnect. The others complete later or never.
     let late = endpoint.next_connection();
     disconnect.apply(gateway, &mut waiting);
     gateway.resume();
--- a/tests/process/client_disconnects_in_pipeline.rs
+++ b/tests/process/client_disconnects_in_pipeline.rs
@@ -1,9 +1,10 @@
-//! Clients that disconnect with pipelined or malformed input: their requests that were not forwarded yet are dropped.
+//! Clients that disconnect with pipelined or malformed input: their requests that are not yet forwarded must
+//! be dropped.
 
 use crate::support::*;
 use std::thread;
 
-/// Fills a pipeline behind a request: more commands than a client may have in progress.
+/// A request followed by more commands than the pipeline of a connection holds.
 fn request_and_full_pipeline() -> Vec<u8> {
     [
         read_request_with_id(REQUEST_ID, LONGEST_DEADLINE_MS),
@@ -12,7 +13,7 @@
     .concat()
 }
 
-/// A client that has sent this while another request of its tenant holds the only permit.
+/// A client that has sent its input while another request of the same tenant holds the only permit.
 struct WaitingClient {
     fleet: SingleEndpoint,
     in_flight: InFlightRequest,
@@ -56,7 +57,7 @@
     let mut other_client = fleet.gateway.connect();
     reset_on_close(&client);
     drop(client);
-    // The gateway has processed all that came before once it answers this.
+    // Once the gateway answers this, it has processed all earlier events.
     other_client.expect_pong();
     expect_released_permit_goes_to_next_client(&fleet.endpoint, &fleet.gateway, in_flight);
 }
@@ -70,11 +71,12 @@
         mut client,
     } = WaitingClient::send([&request[..], b"nonsense\r\n", &[b'x'; 5000]].concat());
     client.half_close();
-    client.expect_close("it has disconnected behind malformed input");
+    client.expect_close("it has disconnected after malformed input");
     expect_released_permit_goes_to_next_client(&fleet.endpoint, &fleet.gateway, in_flight);
 }
 
-/// Has the gateway find requests and their client's disconnect at once, and checks that it forwards nothing.
+/// Makes the gateway detect requests and their client's disconnect at the same time, and checks that it
+/// forwards nothing.
 fn check_requests_with_disconnect(disconnect: Disconnect, count: usize, is_new_client: bool) {
     let mut fleet = SingleEndpoint::with_longest_waits();
     let mut first = fleet.start_request(read_request(LONGEST_DEADLINE_MS));
@@ -121,7 +123,7 @@
     client.expect_close("it has disconnected and nothing is in flight");
 }
 
-/// Checks a request that fits into the pipeline only when its client has disconnected.
+/// Checks a request for which the pipeline has room only after its client has disconnected.
 fn check_request_behind_full_pipeline(case: DisconnectCase) -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::with_longest_waits();
     let pings = ping_command().repeat(127);
@@ -135,7 +137,7 @@
     });
     let pooled = pooled_connection(&fleet.endpoint, &fleet.gateway);
     let suspended = case.suspend(&fleet.gateway)?;
-    // The answer empties each client's pipeline, so that the request behind it fits.
+    // The response empties each client's pipeline, which makes room for the request behind it.
     group.answer_all("first");
     case.disconnect.apply(&fleet.gateway, &mut group.clients);
     suspended.resume()?;
--- a/tests/process/client_disconnects_while_waiting.rs
+++ b/tests/process/client_disconnects_while_waiting.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request waits for a permit, a quota response or a connection: the request is
-//! not forwarded, also where what it waits for arrives at the same moment.
+//! Clients that disconnect while their request waits for a permit, a quota response or a connection: the
+//! request must not be forwarded, even if the awaited event arrives together with the disconnect.
 
 use crate::support::*;
 
@@ -22,7 +22,7 @@
         settlement.starts_with("t,"),
         "expected that the tokens are returned, got {settlement:?}"
     );
-    // The second signal ends the gateway without waiting for its peers.
+    // The second signal stops the gateway without waiting for its peers.
     pair.gateway.signal(Signal::Terminate);
     pair.gateway.signal(Signal::Terminate);
     pair.gateway.expect_successful_exit();
@@ -40,7 +40,7 @@
     client.half_close();
     client.expect_close("it has disconnected while the gateway connects");
     let endpoint = StandInEndpoint::with_listener(fleet.backlog.listener);
-    // The connection that filled the backlog.
+    // This connection only filled the backlog.
     drop(endpoint.next_connection());
     let late = endpoint.next_connection();
     other_client.send(read_request(LONGEST_DEADLINE_MS));
@@ -55,7 +55,7 @@
     other_client.expect_reply("other");
 }
 
-/// Has the gateway find a released permit, further commands and the client's disconnect at once.
+/// Makes the gateway detect a released permit, further commands and the client's disconnect at the same time.
 fn check_permit_released_with_disconnect(disconnect: Disconnect, commands_behind: usize) {
     let fleet = SingleEndpoint::with_concurrency_limit(1);
     let mut first = fleet.start_request(read_request(LONGEST_DEADLINE_MS));
@@ -65,7 +65,7 @@
     fleet.gateway.wait_until_input_is_processed();
     fleet.gateway.suspend();
     first.forwarded.send_value("first");
-    // Unread commands before the end of the stream must not hide it.
+    // Unread commands before the end of the stream must not hide the disconnect.
     waiting.send(ping_command().repeat(commands_behind));
     let mut disconnected = [waiting];
     disconnect.apply(&fleet.gateway, &mut disconnected);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Has the gateway find a quota response and the client's disconnect at once.
+/// Makes the gateway detect a quota response and the client's disconnect at the same time.
 fn check_quota_response_with_disconnect(case: DisconnectCase) -> Result<(), ShutdownOver> {
     let mut pair = GatewayWithPeer::start();
     let mut pooled = pooled_connection(&pair.endpoint, &pair.gateway);
@@ -101,8 +101,8 @@
     suspended.resume()?;
     match case.phase {
         Phase::ShuttingDown => {
-            // The gateway answers its peers until a second SIGTERM. Its response shows that it has processed all
-            // that arrived before.
+            // The gateway answers its peers until a second SIGTERM. Its response shows that it has processed
+            // all earlier messages.
             pair.send(QUOTA_REQUEST);
             pair.receive();
             pair.gateway.signal(Signal::Terminate);
@@ -127,7 +127,7 @@
     }
 }
 
-/// Has the gateway find a completed connection and the client's disconnect at once.
+/// Makes the gateway detect a completed connection and the client's disconnect at the same time.
 fn check_connect_completed_with_disconnect(case: DisconnectCase) -> Result<(), ShutdownOver> {
     let mut fleet = ConnectingEndpoint::start();
     let mut waiting = fleet.gateway.connect();
@@ -135,7 +135,7 @@
     wait_until_connecting(fleet.backlog.address(), 1);
     let suspended = case.suspend(&fleet.gateway)?;
     let endpoint = StandInEndpoint::with_listener(fleet.backlog.listener);
-    // The connection that filled the backlog.
+    // This connection only filled the backlog.
     drop(endpoint.next_connection());
     let mut late = endpoint.next_connection();
     case.disconnect.apply(&fleet.gateway, &mut [waiting]);
