--- a/src/gateway/clients/connection.rs
+++ b/src/gateway/clients/connection.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reserves the place of a request's response in the response order.
+    /// Reserves the position of a request's response in the response queue.
     pub(super) fn reserve_response(&self, request: RequestId) {
         self.responses.borrow_mut().push_pending(request);
     }
@@ -149,7 +149,6 @@
         self.state.borrow().has_input_ended()
     }
 
-    /// Whether the client has sent at least one complete command.
     pub(super) fn has_sent_command(&self) -> bool {
         self.state.borrow().has_sent_command()
     }
@@ -169,7 +168,6 @@
         self.wake.notify_one();
     }
 
-    /// Whether the gateway will close the connection.
     pub(super) fn is_closing(&self) -> bool {
         self.state.borrow().is_closing()
     }
@@ -208,7 +206,6 @@
         &self.socket
     }
 
-    /// Sets the event that the task waits for from now on.
     pub(super) fn set_awaited_event(&self, awaited: AwaitedEvent) {
         self.state.borrow_mut().set_awaited_event(awaited);
     }
--- a/src/gateway/clients/connection_state.rs
+++ b/src/gateway/clients/connection_state.rs
@@ -34,7 +34,6 @@
 use super::connection::REQUEST_TIMEOUT;
 use std::time::{Duration, Instant};
 
-/// Condition under which the gateway closes a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseWhen {
     /// Every request is answered and its response delivered.
@@ -43,7 +42,7 @@
     NoPartialCommand,
 }
 
-/// Next step of a connection task that has processed all the input it may process now.
+/// What the connection task does once it has processed all the input that it may process for now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionStep {
     /// Wait for input, for a response, or for the socket to become writable.
@@ -53,7 +52,6 @@
     RejectLateCommand,
 }
 
-/// The event that a connection task waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AwaitedEvent {
     /// Further input. A response alone does not wake the task.
@@ -179,7 +177,6 @@
         is_command_late || is_idle_too_long
     }
 
-    /// Sets the event that the task waits for from now on.
     pub(super) fn set_awaited_event(&mut self, awaited: AwaitedEvent) {
         self.awaited = awaited;
     }
@@ -212,17 +209,14 @@
         self.input == InputState::Ended
     }
 
-    /// Whether the client has sent at least one complete command.
     pub(super) fn has_sent_command(&self) -> bool {
         self.has_sent_command
     }
 
-    /// Time of the last command or response, or of the accept if there was none.
     pub(super) fn last_active(&self) -> Instant {
         self.last_active
     }
 
-    /// Whether the task waits for a response and not for input.
     pub(super) fn awaits_response(&self) -> bool {
         self.awaited == AwaitedEvent::Response
     }
@@ -241,7 +235,6 @@
 }
 
 impl OutputState {
-    /// Records that the socket accepted all bytes.
     pub(super) fn accepted_everything(&mut self) {
         if !self.has_failed() {
             *self = OutputState::Writable;
--- a/src/gateway/clients/connections.rs
+++ b/src/gateway/clients/connections.rs
@@ -97,7 +97,7 @@
 
     /// Closes all current and future connections, each as soon as its requests are answered and it holds
     /// no partial command.
-    pub fn close_soon(&self) {
+    pub fn close_when_idle(&self) {
         self.is_closing.set(true);
         for connection in self.table.borrow().values() {
             connection.request_close(CloseWhen::NoPartialCommand);
--- a/src/gateway/clients/fields.rs
+++ b/src/gateway/clients/fields.rs
@@ -1,4 +1,4 @@
-//! Parsing of the key-value fields of a request.
+//! Parser for the key-value fields of a request.
 
 use super::request_error::{Field, RequestError};
 use super::schema::RequestSchema;
@@ -27,7 +27,6 @@
     shard_size: Option<u32>,
     /// Whether the request has an idempotency key.
     pub(super) has_key: bool,
-    /// Whether the client marks the request as a retry.
     pub(super) is_retry: bool,
 }
 
--- a/src/gateway/clients/mod.rs
+++ b/src/gateway/clients/mod.rs
@@ -50,7 +50,7 @@
     fn handle_client_event(&self, event: ClientEvent);
 }
 
-/// An event on a client connection.
+/// Event that a client connection reports to its [`ClientEventHandler`].
 pub enum ClientEvent {
     /// A valid request was received. The connection expects exactly one response to it.
     RequestReceived {
--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -48,7 +48,7 @@
     pub plan: PlanIndex,
     /// The cost declared by the client, in tokens.
     pub cost: Tokens,
-    /// The first gateway of the tenant's shard.
+    /// The index of the first gateway in the tenant's shard.
     pub shard_start: u32,
     /// The number of gateways in the tenant's shard.
     pub shard_size: u32,
--- a/src/gateway/clients/request_error.rs
+++ b/src/gateway/clients/request_error.rs
@@ -8,7 +8,7 @@
 /// The text of each variant is part of the wire protocol. The client receives it after the prefix `-ERR `.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The command has too few or too many parts.
+    /// The command does not have four or five parts.
     #[error("wrong number of arguments")]
     WrongArgumentCount,
     /// The tenant key is not a 33-bit number written as 16 hexadecimal digits.
@@ -23,13 +23,13 @@
     /// The field list is not UTF-8 text of the form `name=value,name=value`.
     #[error("bad fields")]
     InvalidFields,
-    /// A field has an invalid value.
+    /// The value of a field is malformed, out of range, or an unknown class or plan.
     #[error("bad {0}")]
     InvalidField(Field),
-    /// A field occurs more than once.
+    /// A known field other than `r` occurs more than once.
     #[error("a field stands twice")]
     RepeatedField,
-    /// A required field is missing.
+    /// A field that every request needs is missing, or the idempotency key of a keyed class.
     #[error("missing {0}")]
     MissingField(Field),
     /// The command does not match the idempotency of the class: `Q.ASK` is for idempotent classes and
@@ -41,19 +41,19 @@
 /// A request field. `Display` writes its name on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Field {
-    /// The class of the request.
+    /// `c`: name of the request's class.
     Class,
-    /// The tenant's plan.
+    /// `t`: name of the tenant's plan.
     Plan,
-    /// The client's deadline, in milliseconds.
+    /// `d`: the client's deadline, in milliseconds.
     Deadline,
-    /// The cost in tokens.
+    /// `units`: cost of the request, in tokens.
     Cost,
-    /// The first gateway of the tenant's shard.
+    /// `first`: index of the first gateway in the tenant's shard.
     ShardStart,
-    /// The number of gateways in the tenant's shard.
+    /// `spread`: number of gateways in the tenant's shard.
     ShardSize,
-    /// The idempotency key.
+    /// `k`: idempotency key, which may not be empty.
     IdempotencyKey,
 }
 
--- a/src/gateway/clients/responses.rs
+++ b/src/gateway/clients/responses.rs
@@ -10,7 +10,6 @@
 /// Limit on unread response bytes. A connection that exceeds it is closed.
 const MAX_UNREAD_BYTES: usize = 1 << 20;
 
-/// An entry of the response queue.
 enum OrderedResponse {
     /// The request has not been answered yet.
     Pending(RequestId),
@@ -24,7 +23,7 @@
     queue: VecDeque<OrderedResponse>,
     /// Bytes that the socket has not accepted yet.
     unsent: Vec<u8>,
-    /// Total size of the [`OrderedResponse::Ready`] entries.
+    /// Total size of the [`OrderedResponse::Ready`] entries, in bytes.
     ready_bytes: usize,
     state: OutputState,
     memory: MemoryReservation,
@@ -72,7 +71,6 @@
         self.state.fail();
     }
 
-    /// Appends a pending entry for a request to the queue.
     pub(super) fn push_pending(&mut self, request: RequestId) {
         self.queue.push_back(OrderedResponse::Pending(request));
     }
@@ -95,7 +93,7 @@
         self.enforce_limits();
     }
 
-    /// Appends a response that is already available.
+    /// Appends a response that is already available. Writes it immediately if no earlier response is pending.
     pub(super) fn push_ready(&mut self, response: &[u8], socket: &ClientSocket) {
         if self.queue.is_empty() {
             self.write(response, socket);
--- a/src/gateway/clients/schema.rs
+++ b/src/gateway/clients/schema.rs
@@ -45,7 +45,6 @@
         }
     }
 
-    /// Looks up the index of a class by name.
     pub(super) fn class_index(&self, name: &str) -> Option<ClassIndex> {
         self.classes
             .iter()
@@ -57,7 +56,6 @@
         &self.classes[index.0]
     }
 
-    /// Looks up the index of a plan by name.
     pub(super) fn plan_index(&self, name: &str) -> Option<PlanIndex> {
         self.plan_names
             .iter()
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -35,7 +35,6 @@
     read_since_batch: bool,
 }
 
-/// Result of dispatching a batch of commands.
 enum DispatchOutcome {
     /// At least one command was dispatched.
     Dispatched,
@@ -225,7 +224,7 @@
         if !self.handler.has_capacity_for(request.command_len()) {
             return self.connection.respond(b"-BUSY\r\n");
         }
-        // The handler may answer during the call, so the place of the response is reserved first.
+        // The handler may answer during the call, so the position of the response is reserved first.
         let id = self.handler.next_id();
         self.connection.reserve_response(id);
         self.handler
--- a/src/gateway/clients/socket.rs
+++ b/src/gateway/clients/socket.rs
@@ -12,7 +12,6 @@
 /// Size of the buffer for discarded input.
 const DISCARD_SIZE: usize = 4096;
 
-/// Result of a read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     /// More input may follow.
--- a/src/gateway/event_loop/engine_queue.rs
+++ b/src/gateway/event_loop/engine_queue.rs
@@ -15,7 +15,6 @@
     is_executing: bool,
 }
 
-/// The engine's decision on one event.
 pub(super) struct Decision {
     /// The actions, in order of execution.
     pub actions: Vec<Action>,
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -33,13 +33,12 @@
     pub max_connections: usize,
     /// Limit in bytes that applies twice: to the commands in flight, and to incomplete responses.
     pub memory_per_purpose: usize,
-    /// Maximum time for opening a connection.
     pub connect_timeout: Duration,
     /// Time after which endpoints close an idle connection.
     pub endpoint_idle_timeout: Duration,
 }
 
-/// Result of starting an attempt that the engine requested.
+/// Result of [`Forwarder::start_attempt`].
 pub(super) enum ForwardOutcome {
     /// The command was handed to a connection, or a connection is being opened for it.
     Running(AttemptId),
--- a/src/gateway/event_loop/proxied_request.rs
+++ b/src/gateway/event_loop/proxied_request.rs
@@ -19,7 +19,7 @@
     first_executed_at: Option<Instant>,
 }
 
-/// The client of a request.
+/// Whether the client still waits for the response.
 enum ClientState {
     /// The call that received the request is still running, so the client was connected just now.
     Receiving(Rc<ClientConnection>),
@@ -30,7 +30,6 @@
 }
 
 impl ProxiedRequest {
-    /// Creates a request that is being received.
     pub fn new(command: ClientRequest, client: Rc<ClientConnection>) -> ProxiedRequest {
         ProxiedRequest {
             command,
@@ -41,7 +40,6 @@
         }
     }
 
-    /// Converts the request for the decision engine.
     pub fn to_engine_request(&self, id: RequestId, client_deadline: Timestamp) -> Request {
         let command = &self.command;
         Request {
@@ -61,7 +59,7 @@
         &self.command
     }
 
-    /// Marks the end of the call that received the request.
+    /// Marks the call that received the request as returned. The client may disconnect from now on.
     pub fn mark_waiting(&mut self) {
         if let ClientState::Receiving(client) =
             std::mem::replace(&mut self.client, ClientState::Released)
@@ -78,7 +76,6 @@
         }
     }
 
-    /// Whether a client waits for the response.
     pub fn awaits_response(&self) -> bool {
         self.client().is_some()
     }
--- a/src/gateway/event_loop/proxied_requests.rs
+++ b/src/gateway/event_loop/proxied_requests.rs
@@ -61,7 +61,6 @@
         }
     }
 
-    /// Returns a new unique id.
     pub fn next_id(&mut self) -> RequestId {
         self.last_id.0 += 1;
         self.last_id
@@ -72,12 +71,10 @@
         self.received
     }
 
-    /// Number of requests in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no client is waiting for a response.
     pub fn all_answered(&self) -> bool {
         self.requests
             .values()
@@ -102,7 +99,6 @@
         self.requests.insert(id, request);
     }
 
-    /// Ids of all requests in flight.
     pub fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
@@ -120,7 +116,7 @@
             .collect()
     }
 
-    /// Marks the end of the call that received a request.
+    /// Marks the call that received a request as returned. The client may disconnect from now on.
     pub fn mark_waiting(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.mark_waiting();
--- a/src/gateway/event_loop/running_attempt.rs
+++ b/src/gateway/event_loop/running_attempt.rs
@@ -83,7 +83,6 @@
         }
     }
 
-    /// Assigns the connection that carries the attempt.
     pub fn assign(&mut self, connection: Rc<EndpointConnection>) {
         self.state = AttemptState::OnConnection(connection);
     }
--- a/src/gateway/event_loop/timers.rs
+++ b/src/gateway/event_loop/timers.rs
@@ -19,13 +19,13 @@
 /// A timer of the event loop. Timers with the same expiry fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A timer set by the decision engine.
+    /// Reports its token to the decision engine, which set the timer.
     Engine { token: TimerToken },
-    /// The deadline for the response to an attempt.
+    /// Ends an attempt that has received no response by its deadline.
     AttemptDeadline { attempt: AttemptId },
-    /// The deadline for the final response to a request.
+    /// Fails a request that has no final response by its deadline.
     AnswerDeadline { request: RequestId },
-    /// The next cleanup of idle connections.
+    /// Closes expired idle connections and logs malformed responses.
     ReapIdleConnections,
 }
 
@@ -49,9 +49,8 @@
 pub(super) enum NextTimer {
     /// An expired timer, which has been removed from the queue.
     Expired(Timer),
-    /// Expiry of the next timer.
+    /// No timer has expired. The next one expires at this time.
     ExpiresAt(Instant),
-    /// The queue is empty.
     Empty,
 }
 
--- a/src/gateway/resp/encode.rs
+++ b/src/gateway/resp/encode.rs
@@ -1,6 +1,5 @@
 //! Encoders for bulk strings and numbers.
 
-/// Number of decimal digits in `u64::MAX`.
 const MAX_U64_DIGITS: usize = 20;
 
 /// Appends `value` as a bulk string: its length, its bytes and CR LF.
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -40,7 +40,7 @@
         gateway: &running.name,
     });
     // From here on every connection is closed as soon as nothing is in flight on it.
-    running.clients.close_soon();
+    running.clients.close_when_idle();
     drain_backlog(&running.client_listener, running.listener, deadline).await;
     drain_clients(&running.clients).await;
     await_answers(&running.event_loop).await;
--- a/tests/gateway/client_connections.rs
+++ b/tests/gateway/client_connections.rs
@@ -14,7 +14,7 @@
         let listener = ListenerFixture::start().await;
         let client = listener.connect_and_ping().await;
         let mut client = write_unseen_by_runtime(client, PING);
-        listener.connections.close_soon();
+        listener.connections.close_when_idle();
         assert_eq!(read_to_end(&mut client).await, "+PONG\r\n");
     });
 }
@@ -26,7 +26,7 @@
         let client = listener.connect_and_ping().await;
         let mut idle = listener.connect_and_ping().await;
         let mut client = write_unseen_by_runtime(client, &PING[..9]);
-        listener.connections.close_soon();
+        listener.connections.close_when_idle();
         assert_eq!(
             read_to_end(&mut idle).await,
             "",
@@ -47,7 +47,7 @@
         listener
             .connections
             .expire(Instant::now() + REQUEST_TIMEOUT * 2);
-        listener.connections.close_soon();
+        listener.connections.close_when_idle();
         assert_eq!(read_to_end(&mut client).await, "+PONG\r\n");
     });
 }
--- a/tests/gateway/client_listener.rs
+++ b/tests/gateway/client_listener.rs
@@ -18,10 +18,8 @@
 
 /// A valid tenant key, also usable as a request id.
 pub const TENANT: &str = "00000000b4d65521";
-/// The fields of a valid request.
 pub const VALID_FIELDS: &str = "c=read,t=p,d=900,units=1,spread=1,first=0";
 
-/// A request that the handler received.
 pub struct Received {
     pub id: RequestId,
     pub request: ClientRequest,
@@ -84,7 +82,6 @@
             .answer(received[index].id, response.as_bytes());
     }
 
-    /// Waits until this many requests have been received.
     pub async fn wait_for_requests(&self, count: usize) {
         wait_until(|| self.received.borrow().len() >= count).await;
     }
@@ -98,7 +95,6 @@
 }
 
 impl ListenerFixture {
-    /// Starts a listener that accepts connections.
     pub async fn start() -> ListenerFixture {
         let socket = TcpListener::bind(ANY_PORT).await.expect("a free port");
         let address = socket.local_addr().expect("a local address");
@@ -114,7 +110,6 @@
         }
     }
 
-    /// Opens a client connection.
     pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address)
             .await
@@ -170,7 +165,6 @@
     }
 }
 
-/// Sends bytes to the gateway.
 pub async fn send(client: &mut TcpStream, bytes: &[u8]) {
     client
         .write_all(bytes)
--- a/tests/gateway/gateway.rs
+++ b/tests/gateway/gateway.rs
@@ -126,7 +126,6 @@
     stream
 }
 
-/// Reads one complete command.
 async fn read_command(stream: &mut TcpStream) -> Vec<u8> {
     let mut received = Vec::new();
     while resp::parse_command(&received)
--- a/tests/process/client_disconnects_during_attempt.rs
+++ b/tests/process/client_disconnects_during_attempt.rs
@@ -33,7 +33,6 @@
     );
 }
 
-/// The way in which an attempt fails.
 #[derive(Clone, Copy, Debug)]
 enum AttemptFailure {
     ConnectionClosed,
