--- a/src/gateway/clients/connection.rs
+++ b/src/gateway/clients/connection.rs
@@ -100,7 +100,7 @@
         self.responses.borrow().has_failed()
     }
 
-    /// Number of queued responses: pending ones, and complete ones behind a pending one.
+    /// Number of queued responses: pending ones, and complete ones that wait for a pending one.
     pub(super) fn pending_responses(&self) -> usize {
         self.responses.borrow().len()
     }
--- a/src/gateway/clients/connection_state.rs
+++ b/src/gateway/clients/connection_state.rs
@@ -183,8 +183,8 @@
 
     // Queries.
 
-    /// Returns the next step of the task. `is_idle` tells whether every request is answered and every
-    /// response delivered.
+    /// Returns the next step of the task. `is_idle` is whether every request is answered and every response
+    /// delivered.
     ///
     /// The caller must check the socket for unread input before it closes the connection.
     pub(super) fn next_step(&self, is_idle: bool) -> ConnectionStep {
--- a/src/gateway/clients/request.rs
+++ b/src/gateway/clients/request.rs
@@ -64,11 +64,7 @@
         name == IDEMPOTENT_COMMAND || name == NON_IDEMPOTENT_COMMAND
     }
 
-    /// Validates a request command. `is_active` tells whether a client-chosen id belongs to an active
-    /// request.
-    ///
-    /// # Errors
-    /// Returns the first error, in the order of the command's parts, if the command is not a valid
+    /// Validates a request command. `is_active` returns whether a client-chosen id belongs to an active
     /// request.
     pub(super) fn parse(
         command: &Command,
--- a/src/gateway/clients/responses.rs
+++ b/src/gateway/clients/responses.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Number of queued responses: pending ones, and complete ones behind a pending one.
+    /// Number of queued responses: pending ones, and complete ones that wait for a pending one.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
--- a/src/gateway/clients/serve.rs
+++ b/src/gateway/clients/serve.rs
@@ -17,7 +17,7 @@
 /// Limit on concurrent requests of one connection. Further commands stay unread in the socket.
 const MAX_PIPELINED: usize = 128;
 /// Limit on commands that are dispatched before the task yields and checks again whether the client has
-/// disconnected. Selecting one of several hundred endpoints takes a good part of a millisecond on a slow
+/// disconnected. Selecting one of several hundred endpoints takes a large part of a millisecond on a slow
 /// core.
 const MAX_COMMANDS_PER_TURN: usize = 16;
 /// Time that a client has to read an error response. Closing a socket with unread input would discard the
@@ -109,8 +109,8 @@
         self.connection.pending_responses() < MAX_PIPELINED
     }
 
-    /// Waits for input, room for output, or a wake-up. Breaks if the client has disconnected, which is
-    /// also detected while no input is read (test
+    /// Waits for input, room for output, or a wake-up. Returns `Break` if the client has disconnected, which
+    /// is also detected while no input is read (test
     /// `a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read`).
     async fn wait(&mut self) -> ControlFlow<()> {
         let connection = &self.connection;
@@ -145,8 +145,8 @@
         }
         self.read_since_batch = true;
         if self.received.len() >= ALWAYS_ALLOWED_BYTES {
-            // More input may follow. Yielding lets other connections run, and the end of this input may
-            // be detected meanwhile.
+            // More input may follow. Yielding lets other connections run and the runtime detect the end of
+            // this input.
             yield_now().await;
         }
         ControlFlow::Continue(())
--- a/src/gateway/clients/socket.rs
+++ b/src/gateway/clients/socket.rs
@@ -101,9 +101,8 @@
 
     /// Whether the client is known to have disconnected.
     ///
-    /// Peeks at the socket directly, because the runtime may not have polled it since. A peek does not
-    /// detect an end of input behind unread bytes; that one becomes known at the next poll of the
-    /// runtime.
+    /// Peeks at the socket directly, because the runtime may not have polled it since. While unread bytes
+    /// precede the end of the input, a peek does not detect it, but the runtime does at its next poll.
     pub(super) fn is_disconnected(&self) -> bool {
         self.is_read_closed()
             || match self.peek() {
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -144,8 +144,9 @@
     ) -> Option<AttemptOutcome> {
         let assignment = connection.unassign();
         let id = assignment.request()?;
-        // The connection cannot be reused if the response arrived before the command was written
-        // completely, or if it is an unknown error. Further bytes that belong to no request may follow.
+        // The connection cannot be reused if the response arrived before the command was written completely,
+        // or if it is an error that endpoints are not known to send. Bytes that belong to no request may
+        // follow such a response.
         let is_reusable = nothing_follows
             && matches!(assignment, Assignment::AwaitingResponse { .. })
             && !matches!(response, EndpointResponse::UnknownError);
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -127,8 +127,7 @@
         Ok(event_loop)
     }
 
-    /// Replaces the function that opens connections to endpoints. The default opens plain TCP
-    /// connections.
+    /// Replaces the function that opens connections to endpoints. By default, they are plain TCP connections.
     pub fn set_connector(&mut self, connector: Connector) {
         self.forwarder.endpoints.set_connector(connector);
     }
@@ -145,7 +144,7 @@
         self.forwarder.requests.received()
     }
 
-    /// Number of requests in flight, including those without a client but with a running attempt.
+    /// Number of requests in flight. A request whose client has disconnected counts until its attempt ends.
     #[must_use]
     pub fn active_requests(&self) -> usize {
         self.forwarder.requests.len()
@@ -255,8 +254,8 @@
         }
     }
 
-    /// Handles the end of a connect. The client may have disconnected meanwhile, unseen by the runtime (test
-    /// `request_is_not_forwarded_if_its_connection_completes_together_with_the_disconnect`).
+    /// Handles the end of a connect. The client may have disconnected in the meantime, unseen by the runtime
+    /// (test `request_is_not_forwarded_if_its_connection_completes_together_with_the_disconnect`).
     fn connect_finished(&mut self, dial: Dial, stream: Option<TcpStream>) {
         let request = dial.attempt.request;
         if self.forwarder.requests.is_abandoned(request) {
--- a/src/gateway/event_loop/running_attempt.rs
+++ b/src/gateway/event_loop/running_attempt.rs
@@ -3,14 +3,14 @@
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | - | the engine forwards the request | `Connecting` |
-//! | `Connecting` | an open connection accepts the whole command | `OnConnection`, awaiting the response |
+//! | `Connecting` | an open connection accepts the complete command | `OnConnection`, awaiting the response |
 //! | `Connecting` | an open connection accepts none or part of the command | `OnConnection`, writing |
 //! | `OnConnection`, writing | the last byte of the command is written | `OnConnection`, awaiting the response |
 //! | any | the attempt ends: response, failure, deadline or client disconnect | - |
 //!
-//! The [`Assignment`] of the connection tells whether it is still writing or awaits the response, because
-//! the connection task writes the bytes that the socket did not accept at once. The endpoint cannot have
-//! executed the command before its last byte is written, and may have executed it from then on.
+//! Whether a connection is still writing or awaits the response is part of its [`Assignment`], because the
+//! connection task writes the bytes that the socket did not accept at once. The endpoint cannot have executed
+//! the command before its last byte is written, and may have executed it from then on.
 
 use crate::gateway::endpoints::{Assignment, AttemptId, EndpointConnection};
 use crate::gateway::engine_time::to_milliseconds;
--- a/src/gateway/event_loop/timers.rs
+++ b/src/gateway/event_loop/timers.rs
@@ -1,9 +1,9 @@
 //! Timer queue of the event loop.
 //!
-//! Timers are not cancelled, because most requests end long before their deadlines and removing an entry
-//! from a heap costs more than skipping it. A callback tells whether a timer is still pending. Obsolete
-//! timers are dropped when they reach the head of the queue, or in a purge when the queue has grown too
-//! long.
+//! Timers are not cancelled, because most requests end long before their deadlines and removing an entry from
+//! a heap costs more than skipping it. The caller provides a callback that returns whether a timer is still
+//! pending. Obsolete timers are dropped when they reach the head of the queue, or in a purge when the queue
+//! has grown too long.
 
 use crate::gateway::endpoints::AttemptId;
 use crate::{RequestId, TimerToken};
@@ -81,7 +81,8 @@
         self.wake_up.clone()
     }
 
-    /// Adds a timer. `is_pending` tells whether a timer is still needed, for purging the others.
+    /// Adds a timer. If the queue has grown too long, first drops all timers for which `is_pending` returns
+    /// `false`.
     pub fn schedule(
         &mut self,
         expires_at: Instant,
--- a/tests/gateway/resp.rs
+++ b/tests/gateway/resp.rs
@@ -94,10 +94,10 @@
 
 #[test]
 fn command_over_the_length_limit_is_rejected_before_it_is_complete() {
-    let whole = command_with_parts(&[MAX_VALUE_LEN, MAX_VALUE_LEN]);
-    assert_eq!(parse_command(&whole[..MAX_COMMAND_LEN]), Ok(None));
+    let complete = command_with_parts(&[MAX_VALUE_LEN, MAX_VALUE_LEN]);
+    assert_eq!(parse_command(&complete[..MAX_COMMAND_LEN]), Ok(None));
     assert_eq!(
-        parse_command(&whole[..=MAX_COMMAND_LEN]),
+        parse_command(&complete[..=MAX_COMMAND_LEN]),
         Err(ProtocolError::CommandTooLong)
     );
 }
--- a/tests/process/client_disconnects_at_shutdown.rs
+++ b/tests/process/client_disconnects_at_shutdown.rs
@@ -24,8 +24,8 @@
     check_once_set_up(check_waiting_request_with_half_close);
 }
 
-/// During a shutdown, makes the gateway detect a released permit and the client's disconnect at the same
-/// time.
+/// Suspends the gateway during its shutdown, releases a permit and disconnects the client that waits for it.
+/// Checks that the waiting request is not forwarded.
 fn check_permit_released_with_disconnect(disconnect: Disconnect) -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::with_concurrency_limit(1);
     let mut waiting = fleet.gateway.connect();
@@ -51,8 +51,8 @@
     }
 }
 
-/// During a shutdown, makes the gateway detect responses to requests in flight, further requests, and the
-/// clients' disconnects at the same time.
+/// Suspends the gateway during its shutdown, answers the requests in flight, sends further requests and
+/// disconnects the clients. Checks that no further request is forwarded.
 fn check_requests_with_disconnect(disconnect: Disconnect) -> Result<(), ShutdownOver> {
     let mut fleet = SingleEndpoint::with_longest_waits();
     let mut group = RequestGroup::start(&fleet, || read_request(LONGEST_DEADLINE_MS));
--- a/tests/process/client_disconnects_during_attempt.rs
+++ b/tests/process/client_disconnects_during_attempt.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Makes the gateway detect an attempt's failure and the client's disconnect at the same time.
+/// Suspends the gateway, fails an attempt and disconnects the client. Checks that the request is not retried.
 fn check_failure_with_disconnect(
     case: DisconnectCase,
     failure: AttemptFailure,
--- a/tests/process/client_disconnects_in_groups.rs
+++ b/tests/process/client_disconnects_in_groups.rs
@@ -26,8 +26,8 @@
     clients
 }
 
-/// Makes the gateway detect released permits and the disconnects of all clients that wait for one at the same
-/// time.
+/// Suspends the gateway, releases all permits and disconnects all clients that wait for one. Checks that none
+/// of their requests is forwarded and that all permits can be leased again.
 fn check_group_waiting_for_permits(disconnect: Disconnect) {
     const PERMITS: usize = 100;
     let fleet = SingleEndpoint::with_concurrency_limit(PERMITS);
@@ -75,8 +75,8 @@
     }
 }
 
-/// Makes the gateway detect quota responses and the disconnects of the clients that wait for them at the same
-/// time.
+/// Suspends the gateway, sends quota responses and disconnects the clients that wait for them. Checks that
+/// none of their requests is forwarded.
 fn check_group_waiting_for_quota_responses(disconnect: Disconnect) {
     // The objective is so long that no request is forwarded because its quota owner does not respond.
     let pair = GatewayWithPeer::with_latency_objective(600_000);
@@ -102,8 +102,8 @@
     }
 }
 
-/// Makes the gateway detect a completed connection and the disconnects of the clients that wait for one at
-/// the same time.
+/// Suspends the gateway, completes a connection and disconnects the clients that wait for one. Checks that
+/// none of their requests is forwarded.
 fn check_group_waiting_for_connections(disconnect: Disconnect) {
     let fleet = ConnectingEndpoint::start();
     let gateway = &fleet.gateway;
--- a/tests/process/client_disconnects_in_pipeline.rs
+++ b/tests/process/client_disconnects_in_pipeline.rs
@@ -75,8 +75,8 @@
     expect_released_permit_goes_to_next_client(&fleet.endpoint, &fleet.gateway, in_flight);
 }
 
-/// Makes the gateway detect requests and their client's disconnect at the same time, and checks that it
-/// forwards nothing.
+/// Suspends the gateway, sends requests and disconnects their client. Checks that none of the requests is
+/// forwarded.
 fn check_requests_with_disconnect(disconnect: Disconnect, count: usize, is_new_client: bool) {
     let mut fleet = SingleEndpoint::with_longest_waits();
     let mut first = fleet.start_request(read_request(LONGEST_DEADLINE_MS));
--- a/tests/process/client_disconnects_while_waiting.rs
+++ b/tests/process/client_disconnects_while_waiting.rs
@@ -55,7 +55,8 @@
     other_client.expect_reply("other");
 }
 
-/// Makes the gateway detect a released permit, further commands and the client's disconnect at the same time.
+/// Suspends the gateway, releases a permit, sends further commands and disconnects the client that waits for
+/// the permit. Checks that the waiting request is not forwarded.
 fn check_permit_released_with_disconnect(disconnect: Disconnect, commands_behind: usize) {
     let fleet = SingleEndpoint::with_concurrency_limit(1);
     let mut first = fleet.start_request(read_request(LONGEST_DEADLINE_MS));
@@ -88,7 +89,8 @@
     }
 }
 
-/// Makes the gateway detect a quota response and the client's disconnect at the same time.
+/// Suspends the gateway, sends a quota response and disconnects the client that waits for it. Checks that the
+/// request is not forwarded.
 fn check_quota_response_with_disconnect(case: DisconnectCase) -> Result<(), ShutdownOver> {
     let mut pair = GatewayWithPeer::start();
     let mut pooled = pooled_connection(&pair.endpoint, &pair.gateway);
@@ -127,7 +129,8 @@
     }
 }
 
-/// Makes the gateway detect a completed connection and the client's disconnect at the same time.
+/// Suspends the gateway, completes a connection and disconnects the client that waits for it. Checks that the
+/// request is not forwarded.
 fn check_connect_completed_with_disconnect(case: DisconnectCase) -> Result<(), ShutdownOver> {
     let mut fleet = ConnectingEndpoint::start();
     let mut waiting = fleet.gateway.connect();
