--- a/tests/process/client_disconnects_during_attempt.rs
+++ b/tests/process/client_disconnects_during_attempt.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect while an attempt is in flight: the request is not retried once that attempt fails.
+//! Clients that disconnect while an attempt is in flight: the request must not be retried if the attempt
+//! fails.
 
 use crate::support::*;
 
@@ -32,7 +33,6 @@
     );
 }
 
-/// How an attempt fails.
 #[derive(Clone, Copy, Debug)]
 enum AttemptFailure {
     ConnectionClosed,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Has the gateway find an attempt's failure and the client's disconnect at once.
+/// Suspends the gateway, fails an attempt and disconnects the client. Checks that the request is not retried.
 fn check_failure_with_disconnect(
     case: DisconnectCase,
     failure: AttemptFailure,
