--- a/src/gateway/configuration_error.rs
+++ b/src/gateway/configuration_error.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
     /// The variable that names the file is absent or not Unicode.
-    #[error("{CONFIG_FILE_VARIABLE} names no configuration file")]
+    #[error("{CONFIG_FILE_VARIABLE} must be set to the path of the configuration file")]
     NoFileNamed,
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
@@ -40,7 +40,9 @@
         source: SettingsError,
     },
     /// The number of this gateway is not below the number of gateways.
-    #[error("{path}: settings: Me is {gateway} of {gateway_count} gateways")]
+    #[error(
+        "{path}: settings: Me is {gateway}, expected less than the number of gateways, {gateway_count}"
+    )]
     GatewayNumber {
         /// The path of the file.
         path: String,
--- a/src/gateway/discovery/document.rs
+++ b/src/gateway/discovery/document.rs
@@ -22,7 +22,7 @@
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The bytes are JSON without the keys that an endpoint list must have.
-    #[error("no endpoint list: `rev` or `targets` is missing or has the wrong type")]
+    #[error("not an endpoint list: `rev` or `targets` is missing or has the wrong type")]
     NotAnEndpointList,
 }
 
--- a/src/gateway/discovery/error.rs
+++ b/src/gateway/discovery/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
     /// A step of the call was not done by its deadline.
-    #[error("{0}: no answer in time")]
+    #[error("{0}: timed out")]
     TimedOut(DiscoveryCallStep),
     /// A step of the call failed.
     #[error("{step}: {source}")]
@@ -35,10 +35,10 @@
     #[error("watch: {0}")]
     Frame(#[from] FrameError),
     /// Neither an update nor a keep-alive came on the watch in time.
-    #[error("watch: no update or keep-alive in time")]
+    #[error("watch: timed out waiting for an update or keep-alive")]
     WatchSilent,
     /// Discovery ended the watch.
-    #[error("watch: ended by discovery")]
+    #[error("watch: closed by discovery")]
     WatchEnded,
 }
 
--- a/src/gateway/discovery/frames.rs
+++ b/src/gateway/discovery/frames.rs
@@ -21,10 +21,10 @@
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The frame is longer than any that is read.
-    #[error("a frame is longer than {MAX_DOCUMENT_BYTES} bytes")]
+    #[error("frame exceeds {MAX_DOCUMENT_BYTES} bytes")]
     TooLong,
     /// The frame is not an endpoint list.
-    #[error("a frame is {0}")]
+    #[error("malformed frame: {0}")]
     Document(#[from] DocumentError),
 }
 
--- a/src/gateway/endpoints/connection.rs
+++ b/src/gateway/endpoints/connection.rs
@@ -28,10 +28,10 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EndpointProtocolError {
     /// All connections together hold as many bytes of incomplete responses as the memory budget allows.
-    #[error("no memory left for a response of this length")]
+    #[error("memory budget for incomplete responses exceeded")]
     OutOfMemory,
     /// The response is still incomplete at the longest length that a response can have.
-    #[error("the response is too long")]
+    #[error("response exceeds {MAX_RESPONSE_BYTES} bytes")]
     ResponseTooLong,
     /// The bytes are not a response in the protocol.
     #[error(transparent)]
--- a/src/gateway/log.rs
+++ b/src/gateway/log.rs
@@ -158,18 +158,21 @@
             LogEvent::ConfigurationReloaded { discovery } => {
                 write!(
                     formatter,
-                    "configuration read again; discovery at {discovery}"
+                    "configuration reloaded; discovery at {discovery}"
                 )
             }
             LogEvent::ConfigurationReloadFailed { error } => {
-                write!(formatter, "the configuration in use stays: {error}")
+                write!(formatter, "keeping the current configuration: {error}")
             }
             LogEvent::DiscoveryFailed { address, error } => {
-                write!(formatter, "discovery at {address}: {error}; retrying")
+                write!(
+                    formatter,
+                    "call to discovery at {address} failed: {error}; retrying"
+                )
             }
             LogEvent::AcceptFailed { error } => write!(
                 formatter,
-                "cannot accept a connection: {error}; closing an idle one and retrying"
+                "cannot accept a connection: {error}; closing an idle connection and retrying"
             ),
             LogEvent::MalformedResponses {
                 count,
@@ -180,7 +183,7 @@
                 "{count} malformed responses, the last from {last_endpoint}: {last_error}"
             ),
             LogEvent::RequestOverdue => {
-                formatter.write_str("a request had no answer at its deadline, and fails")
+                formatter.write_str("a request was not answered by its deadline and fails")
             }
         }
     }
--- a/src/gateway/startup_error.rs
+++ b/src/gateway/startup_error.rs
@@ -10,10 +10,10 @@
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The asynchronous runtime could not be created.
-    #[error("cannot start the runtime: {0}")]
+    #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A signal handler could not be registered.
-    #[error("cannot await {name}: {source}")]
+    #[error("cannot register a handler for {name}: {source}")]
     Signal {
         /// The name of the signal.
         name: &'static str,
--- a/tests/gateway/log.rs
+++ b/tests/gateway/log.rs
@@ -42,7 +42,7 @@
     assert_eq!(
         event.to_string(),
         "marlshelf-gateway: discovery_failed address=127.0.0.1:6379: \
-         discovery at 127.0.0.1:6379: watch: ended by discovery; retrying"
+         call to discovery at 127.0.0.1:6379 failed: watch: closed by discovery; retrying"
     );
     let event = LogEvent::AddressInUse {
         purpose: &SocketPurpose::Gossip,
@@ -60,7 +60,7 @@
 fn an_event_without_fields_has_its_sentence_right_after_its_name() {
     assert_eq!(
         LogEvent::RequestOverdue.to_string(),
-        "marlshelf-gateway: request_overdue: a request had no answer at its deadline, and fails"
+        "marlshelf-gateway: request_overdue: a request was not answered by its deadline and fails"
     );
 }
 
--- a/tests/process/support/gateway_process.rs
+++ b/tests/process/support/gateway_process.rs
@@ -15,8 +15,8 @@
 pub const LOG_SERVING: &str = " serves at ";
 pub const LOG_SHUTTING_DOWN: &str = " stops";
 pub const LOG_LISTENER_CLOSED: &str = " lets nobody new in";
-pub const LOG_CONFIGURATION_REJECTED: &str = "the configuration in use stays";
-pub const LOG_CONFIGURATION_RELOADED: &str = "configuration read again";
+pub const LOG_CONFIGURATION_REJECTED: &str = "keeping the current configuration";
+pub const LOG_CONFIGURATION_RELOADED: &str = "configuration reloaded";
 pub const LOG_ACCEPT_FAILED: &str = "cannot accept a connection";
 
 #[derive(Clone, Copy, Debug)]
