--- a/src/gateway/discovery/document.rs
+++ b/src/gateway/discovery/document.rs
@@ -1,4 +1,4 @@
-//! The JSON form of an endpoint list, as discovery sends it and the configuration file caches it.
+//! Parses the JSON form of an endpoint list, which discovery sends and the configuration file caches.
 
 use super::{EndpointUpdate, ListedEndpoint};
 use crate::{EndpointState, Timestamp};
@@ -6,31 +6,31 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use thiserror::Error;
 
-/// The longest document that is read: a document without an end must not fill the memory.
+/// The maximum length of a document, which keeps an endless document from exhausting the memory.
 pub(super) const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
-/// The weight of an endpoint for which discovery gives none.
+/// The weight of an endpoint for which discovery reports no capacity.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Stands for the address of a removed endpoint, which may be listed without one.
+/// Placeholder for the address of a removed endpoint, which may be listed without one.
 const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Why bytes could not be read as an endpoint list.
+/// An error in parsing an endpoint list.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// The bytes are not JSON.
+    /// The bytes are not valid JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The bytes are JSON without the keys that an endpoint list must have.
+    /// A mandatory key of an endpoint list is missing or has the wrong type.
     #[error("not an endpoint list: `rev` or `targets` is missing or has the wrong type")]
     NotAnEndpointList,
 }
 
 impl EndpointUpdate {
-    /// Reads the JSON form of an endpoint list. An entry that cannot be read is left out, and the others count.
+    /// Parses the JSON form of an endpoint list. Skips malformed entries and keeps the others.
     ///
     /// # Errors
-    /// [`DocumentError::NotAnEndpointList`] if the revision or the array of entries is missing.
+    /// Returns [`DocumentError::NotAnEndpointList`] if the revision or the array of entries is missing.
     pub fn from_json(document: &Value) -> Result<EndpointUpdate, DocumentError> {
         let revision = document.get("rev").and_then(Value::as_u64);
         let entries = document.get("targets").and_then(Value::as_array);
@@ -43,22 +43,21 @@
                 .get("all")
                 .and_then(Value::as_bool)
                 .unwrap_or(false),
-            endpoints: entries.iter().filter_map(read_entry).collect(),
+            endpoints: entries.iter().filter_map(parse_entry).collect(),
         })
     }
 
-    /// Parses the bytes of a whole document.
     pub(super) fn from_json_bytes(bytes: &[u8]) -> Result<EndpointUpdate, DocumentError> {
         let document: Value = serde_json::from_slice(bytes)?;
         EndpointUpdate::from_json(&document)
     }
 }
 
-fn read_entry(entry: &Value) -> Option<ListedEndpoint> {
-    let state = read_state(text(entry, "state")?)?;
+fn parse_entry(entry: &Value) -> Option<ListedEndpoint> {
+    let state = parse_state(text(entry, "state")?)?;
     let name = text(entry, "uid").filter(|name| !name.is_empty())?;
-    // Nothing else about a removed endpoint matters, and its removal must not be missed: defaults stand in for
-    // what is absent or malformed.
+    // A removal must not be missed because of other fields, which are irrelevant for a removed endpoint.
+    // Defaults replace those that are missing or malformed.
     let removed = state == EndpointState::Removed;
     let address = text(entry, "endpoint").and_then(|address| address.parse().ok());
     let cell = entry
@@ -77,7 +76,7 @@
     })
 }
 
-fn read_state(text: &str) -> Option<EndpointState> {
+fn parse_state(text: &str) -> Option<EndpointState> {
     match text {
         "ready" => Some(EndpointState::Ready),
         "draining" => Some(EndpointState::Draining),
--- a/src/gateway/discovery/error.rs
+++ b/src/gateway/discovery/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with one call to discovery.
+//! Errors of a call to discovery.
 
 use super::{DocumentError, FrameError};
 use hyper::StatusCode;
@@ -6,52 +6,52 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Why a call to discovery failed. The client connects again after each of these.
+/// The error of a failed call to discovery. The client reconnects after any of these errors.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// A step of the call was not done by its deadline.
+    /// A step of the call was not complete by its deadline.
     #[error("{0}: timed out")]
     TimedOut(DiscoveryCallStep),
-    /// A step of the call failed.
+    /// A step of the call failed with a transport or HTTP error.
     #[error("{step}: {source}")]
     Failed {
-        /// The step that failed.
+        /// The step during which the error occurred.
         step: DiscoveryCallStep,
-        /// The error of the connection.
+        /// The error from the socket or the HTTP client.
         source: Box<dyn StdError + Send + Sync>,
     },
-    /// Discovery answered with a status other than 200.
+    /// Discovery responded with an HTTP status other than 200.
     #[error("{path}: {status}")]
     Status {
-        /// The path of the request.
+        /// The path and query of the request.
         path: String,
-        /// The status of the response.
+        /// The HTTP status of the response.
         status: StatusCode,
     },
-    /// The snapshot is not an endpoint list.
+    /// The snapshot is not a valid endpoint list.
     #[error("snapshot: {0}")]
     Snapshot(#[from] DocumentError),
-    /// A frame of the watch cannot be read.
+    /// A frame of the watch is malformed.
     #[error("watch: {0}")]
     Frame(#[from] FrameError),
-    /// Neither an update nor a keep-alive came on the watch in time.
+    /// The watch delivered neither an update nor a keep-alive within the silence timeout.
     #[error("watch: timed out waiting for an update or keep-alive")]
     WatchSilent,
-    /// Discovery ended the watch.
+    /// Discovery closed the watch, which normally has no end.
     #[error("watch: closed by discovery")]
     WatchEnded,
 }
 
-/// A step of a call to discovery.
+/// A step of a call to discovery, as named in error messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DiscoveryCallStep {
-    /// Opening the connection.
+    /// Opening the connection and performing the HTTP handshake.
     Connect,
-    /// Sending a request for this path and waiting for the head of the response.
+    /// Sending a request for this path and waiting for the response head.
     Request(String),
-    /// Reading the whole list.
+    /// Reading the body of a snapshot.
     ReadSnapshot,
-    /// Reading updates.
+    /// Reading the body of a watch.
     ReadWatch,
 }
 
--- a/src/gateway/discovery/frames.rs
+++ b/src/gateway/discovery/frames.rs
@@ -1,7 +1,7 @@
-//! Splits the bytes of a watch into frames.
+//! Decodes the byte stream of a watch into frames.
 //!
-//! A frame is an empty line, which is a keep-alive, or one JSON document. Documents usually stand on one line,
-//! but may be indented and span several. The bytes may arrive cut at any place.
+//! A frame is either an empty line, which is a keep-alive, or a JSON document. A document is usually on one
+//! line, but it may be indented and span several lines. The bytes may be split at any position.
 
 use super::EndpointUpdate;
 use super::document::{DocumentError, MAX_DOCUMENT_BYTES};
@@ -11,35 +11,36 @@
 /// One message of a watch.
 #[derive(Debug, PartialEq)]
 pub enum Frame {
-    /// An empty line: discovery is alive, and nothing has changed.
+    /// An empty line, which shows that discovery is alive although the list has not changed.
     KeepAlive,
-    /// A change of the endpoint list.
+    /// A snapshot or delta of the endpoint list.
     Update(EndpointUpdate),
 }
 
-/// Why the bytes of a watch are not a frame. The rest of the watch cannot be read after it.
+/// A malformed frame. The client cannot find the start of the next frame and must open a new watch.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The frame is longer than any that is read.
+    /// The frame exceeds the maximum length of a document.
     #[error("frame exceeds {MAX_DOCUMENT_BYTES} bytes")]
     TooLong,
-    /// The frame is not an endpoint list.
+    /// The frame is neither empty nor a valid endpoint list.
     #[error("malformed frame: {0}")]
     Document(#[from] DocumentError),
 }
 
-/// Assembles frames from the pieces in which they arrive.
+/// Assembles frames from pieces of the byte stream.
 #[derive(Default)]
 pub struct FrameDecoder {
-    /// What has arrived of the current frame.
+    /// The bytes of the current, incomplete frame.
     pending: Vec<u8>,
 }
 
 impl FrameDecoder {
-    /// Takes a piece that holds at most one line end, at its own end, and returns the frame that it completes.
+    /// Appends a piece of the stream and returns the frame that it completes, if any. The piece must not
+    /// contain a line feed except as its last byte.
     ///
     /// # Errors
-    /// When the bytes received so far cannot be the beginning of a frame, or are too many.
+    /// Fails if the bytes of the current frame are too long or cannot be the start of a valid frame.
     pub fn decode(&mut self, piece: &[u8]) -> Result<Option<Frame>, FrameError> {
         let is_first_line = !self.pending.contains(&b'\n');
         self.pending.extend_from_slice(piece);
@@ -54,8 +55,8 @@
             return Ok(Some(Frame::KeepAlive));
         }
         let line_is_blank = self.last_line().trim_ascii().is_empty();
-        // Only a closing brace can complete a document, so that not every line of it makes the whole be parsed
-        // again. A blank line inside a document is an error, which the parser reports.
+        // Parse an indented document only after a line with a closing brace, not after every line. A blank
+        // line inside a document is an error that the parser reports.
         let may_be_complete = self.pending.trim_ascii().ends_with(b"}");
         if !is_first_line && !line_is_blank && !may_be_complete {
             return Ok(None);
@@ -63,7 +64,7 @@
         self.parse_pending(line_is_blank)
     }
 
-    /// The line that has just ended, without its line end.
+    /// Returns the line that was just completed, without its line feed.
     fn last_line(&self) -> &[u8] {
         let without_end = &self.pending[..self.pending.len() - 1];
         without_end
--- a/src/gateway/discovery/mod.rs
+++ b/src/gateway/discovery/mod.rs
@@ -1,22 +1,22 @@
-//! The discovery client: keeps the list of endpoints up to date.
+//! The discovery client, which keeps the endpoint list up to date.
 //!
-//! Discovery is an HTTP service, or an agent on the gateway's own machine that speaks the same protocol.
-//! [`follow`] runs for the life of the process. On each connection it fetches the whole list once, if it has no
-//! list to build on, and then opens a watch: a response without an end that carries one update after another and
-//! an empty line every 2 s as a keep-alive. When a watch ends, breaks or falls silent, the client connects again
-//! after a delay that [`PollSchedule`] chooses.
+//! Discovery is an HTTP service, or an agent on the gateway's machine that speaks the same protocol.
+//! [`follow`] runs for the lifetime of the process. On each connection it first fetches a snapshot, unless it
+//! already has a list, and then opens a watch: an endless response that streams updates, with an empty line
+//! every 2 s as a keep-alive. When a watch ends, breaks or falls silent, the client reconnects after a delay
+//! chosen by [`PollSchedule`].
 //!
-//! Whatever has failed, an update must arrive within 6 s of the time at which discovery had it and could be
-//! reached. The deadlines in `transport`, `watcher` and `schedule` add up to that.
+//! After any failure, an update must arrive within 6 s of the time at which discovery has it and is
+//! reachable. The deadlines in `transport`, `watcher` and `schedule` add up to this limit.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `watcher` | the loop: snapshot, watch, reconnect |
-//! | `transport` | connections and HTTP calls, each with a deadline |
-//! | `frames` | splits the bytes of a watch into frames |
-//! | `document` | reads the JSON form of an endpoint list |
-//! | `schedule` | decides how long to wait before each call |
-//! | `error` | what can go wrong with one call |
+//! | `watcher` | runs the loop of snapshot, watch and reconnect |
+//! | `transport` | opens connections and makes HTTP calls, each with a deadline |
+//! | `frames` | decodes the byte stream of a watch into frames |
+//! | `document` | parses the JSON form of an endpoint list |
+//! | `schedule` | computes the delay before each call |
+//! | `error` | defines the errors of a call |
 
 mod document;
 mod error;
@@ -35,34 +35,34 @@
 use crate::{EndpointState, Timestamp};
 use std::net::SocketAddr;
 
-/// What discovery says about one endpoint.
+/// An endpoint as described by one entry of a discovery document.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedEndpoint {
-    /// The unique name of the endpoint, the same at every gateway.
+    /// The unique name of the endpoint, which is the same at every gateway.
     pub name: String,
-    /// The address at which the endpoint listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The name of the availability zone.
+    /// The name of the endpoint's availability zone; empty if unknown.
     pub zone: String,
-    /// The name of the hardware model.
+    /// The name of the endpoint's hardware model; empty if unknown.
     pub hardware: String,
-    /// The number of the cell.
+    /// The number of the cell that the endpoint belongs to.
     pub cell: u32,
-    /// Whether the endpoint takes new requests.
+    /// Whether the endpoint accepts new requests, is draining or has been removed.
     pub state: EndpointState,
-    /// The registered capacity, relative to that of other endpoints.
+    /// The registered capacity relative to other endpoints; 1.0 if discovery reports none.
     pub weight: f64,
-    /// The time of the last start, in Unix time; zero if it was long ago.
+    /// The time of the last start in Unix time; zero if unknown or long ago.
     pub started_at: Timestamp,
 }
 
-/// A snapshot of the endpoint list, or a delta to it.
+/// A snapshot of the endpoint list, or a delta with the changed endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointUpdate {
     /// The revision of the list after this update.
     pub revision: u64,
-    /// Whether the update names every endpoint there is, so that an endpoint that is not named is removed.
+    /// Whether the update is complete, in which case endpoints that it does not list have been removed.
     pub snapshot: bool,
-    /// The endpoints that the update names.
+    /// All endpoints in a snapshot, or the changed ones in a delta.
     pub endpoints: Vec<ListedEndpoint>,
 }
--- a/src/gateway/discovery/transport.rs
+++ b/src/gateway/discovery/transport.rs
@@ -1,4 +1,4 @@
-//! Connections to discovery and HTTP calls on them. Each step has a deadline.
+//! Connections to discovery and HTTP calls on them, with a deadline for each step.
 
 use super::document::MAX_DOCUMENT_BYTES;
 use super::{DiscoveryCallStep, DiscoveryError};
@@ -15,16 +15,16 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout_at};
 
-/// Opens connections to discovery.
+/// A transport on which to connect to discovery. Tests replace TCP with streams inside the process.
 pub trait Connect {
-    /// An open connection.
+    /// The byte stream of an open connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Opens a connection. The caller limits the time, so an implementation need not.
+    /// Opens a connection. Implementations need no timeout, because the caller applies one.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// Reaches discovery over TCP.
+/// The TCP transport, without Nagle's algorithm.
 pub struct Tcp;
 
 impl Connect for Tcp {
@@ -37,29 +37,30 @@
     }
 }
 
-/// An HTTP/1.1 connection to discovery. Dropping it closes the connection.
+/// An HTTP/1.1 connection to discovery, which closes when it is dropped.
 pub(super) struct HttpConnection {
-    /// The task that moves bytes. It ends when the connection is dropped, also in the middle of a call.
+    /// The task that performs the socket I/O. It is aborted when the connection is dropped, even during a
+    /// call.
     _driver: JoinSet<()>,
     sender: SendRequest<Empty<Bytes>>,
     address: SocketAddr,
 }
 
 impl HttpConnection {
-    /// Connects by the deadline.
+    /// Connects to `address` and performs the HTTP handshake by the deadline.
     pub(super) async fn open<C: Connect>(
         connector: &C,
         address: SocketAddr,
         deadline: Instant,
     ) -> Result<HttpConnection, DiscoveryError> {
         let connecting = connector.connect(address);
-        let stream = before(deadline, DiscoveryCallStep::Connect, connecting).await?;
+        let stream = with_deadline(deadline, DiscoveryCallStep::Connect, connecting).await?;
         let handshaking = handshake(TokioIo::new(stream));
         let (sender, connection) =
-            before(deadline, DiscoveryCallStep::Connect, handshaking).await?;
+            with_deadline(deadline, DiscoveryCallStep::Connect, handshaking).await?;
         let mut driver = JoinSet::new();
         driver.spawn_local(async move {
-            // The call that waits on the connection reports how it ended.
+            // The pending call on the connection reports the same error.
             let _ = connection.await;
         });
         Ok(HttpConnection {
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Sends a request, waits for the head of the response by the deadline, and returns the body.
+    /// Sends a GET request, waits for the response head until the deadline, and returns the unread body.
     pub(super) async fn get(
         &mut self,
         path: &str,
@@ -83,7 +84,7 @@
                 step: step.clone(),
                 source: error.into(),
             })?;
-        let response = before(deadline, step, self.sender.send_request(request)).await?;
+        let response = with_deadline(deadline, step, self.sender.send_request(request)).await?;
         if response.status() == StatusCode::OK {
             Ok(response.into_body())
         } else {
@@ -94,9 +95,9 @@
         }
     }
 
-    /// Waits until the connection can take another request, by the deadline.
+    /// Waits until the connection is ready for another request, but not beyond the deadline.
     pub(super) async fn ready(&mut self, deadline: Instant) -> Result<(), DiscoveryError> {
-        before(
+        with_deadline(
             deadline,
             DiscoveryCallStep::ReadSnapshot,
             self.sender.ready(),
@@ -105,26 +106,26 @@
     }
 }
 
-/// Reads the whole body of a snapshot by the deadline.
+/// Reads the complete body of a snapshot by the deadline. Fails if it exceeds [`MAX_DOCUMENT_BYTES`].
 pub(super) async fn read_snapshot(
     body: Incoming,
     deadline: Instant,
 ) -> Result<Bytes, DiscoveryError> {
     let reading = Limited::new(body, MAX_DOCUMENT_BYTES).collect();
-    let collected = before(deadline, DiscoveryCallStep::ReadSnapshot, reading).await?;
+    let collected = with_deadline(deadline, DiscoveryCallStep::ReadSnapshot, reading).await?;
     Ok(collected.to_bytes())
 }
 
-/// Waits for a step of a call up to its deadline.
-async fn before<T, E>(
+/// Runs a step of a call, and converts its error or the expiry of the deadline.
+async fn with_deadline<T, E>(
     deadline: Instant,
     step: DiscoveryCallStep,
-    call: impl Future<Output = Result<T, E>>,
+    operation: impl Future<Output = Result<T, E>>,
 ) -> Result<T, DiscoveryError>
 where
     E: Into<Box<dyn StdError + Send + Sync>>,
 {
-    match timeout_at(deadline, call).await {
+    match timeout_at(deadline, operation).await {
         Ok(Ok(value)) => Ok(value),
         Ok(Err(error)) => Err(DiscoveryError::Failed {
             step,
--- a/src/gateway/discovery/watcher.rs
+++ b/src/gateway/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list: a snapshot, then a watch, and a new connection whenever that fails.
+//! Follows the endpoint list: fetches a snapshot, opens a watch, and reconnects on failure.
 
 use super::transport::{HttpConnection, read_snapshot};
 use super::{
@@ -15,23 +15,24 @@
 
 const LIST_PATH: &str = "/v1/servers";
 
-/// A machine that is cut off does not answer at all: no connection within this time is a failure.
+/// Timeout for a connect, needed because an unreachable machine does not answer at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The whole list must have arrived within `SNAPSHOT_TIMEOUT` of the beginning of the call, or within
-/// `SNAPSHOT_BODY_TIMEOUT` of the head of the response, where that came late. Together with the delay that
-/// follows a call that hangs, the next call then has its answer 6 s after discovery could be reached again.
+/// The complete snapshot must arrive within `SNAPSHOT_TIMEOUT` of the start of the call, or within
+/// `SNAPSHOT_BODY_TIMEOUT` of the response head, whichever is later. If a call hangs, the next call is then
+/// answered within 6 s of the time at which discovery is reachable again.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
 const SNAPSHOT_BODY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Discovery sends a keep-alive every 2 s. A watch without one for half as long again has failed, whatever TCP
-/// reports. An update that it misses must arrive within 6 s of the last keep-alive: that leaves time for the
-/// delay before the next call and, where the list comes from an agent, for two calls that hang as well.
+/// The maximum time between frames of a watch, 1.5 times the keep-alive interval of 2 s. A watch that exceeds
+/// it has failed, even if TCP reports no error. An update missed by the watch must arrive within 6 s of the
+/// last keep-alive, which leaves time for the delay before the next call and, in the case of an agent, for
+/// two more calls that hang.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Follows discovery for the life of the process and passes every snapshot and delta to `on_update`.
+/// Follows discovery for the lifetime of the process and passes every snapshot and delta to `on_update`.
 ///
-/// `revision` is the revision of the list that the gateway already has, if it has one to build on. When `address`
-/// changes, everything starts anew: revisions are those of one discovery service only, and what is on its way
-/// from the old address is dropped. Returns when the sender of `address` is dropped.
+/// `revision` is the revision of the list that the gateway already has; `None` if it has none. When `address`
+/// changes, the client closes its connection and fetches a snapshot from the new address, because revisions
+/// are specific to one discovery service. Returns when the sender of `address` is dropped.
 pub async fn follow<C: Connect>(
     connector: C,
     mut on_update: impl FnMut(EndpointUpdate),
@@ -39,7 +40,8 @@
     mut revision: Option<u64>,
     mut schedule: PollSchedule,
 ) {
-    // A gateway that has a list lets others, which start or move at the same time, call first.
+    // A gateway that already has a list delays its first call, which gives precedence to other gateways that
+    // start or change address at the same time.
     let mut delay_first_call = revision.is_some();
     loop {
         let current_address = *address.borrow_and_update();
@@ -64,20 +66,20 @@
     }
 }
 
-/// Follows discovery at one address.
+/// The client's state while it follows discovery at one address.
 struct Watcher<'a, C, F> {
     connector: &'a C,
     on_update: &'a mut F,
     schedule: &'a mut PollSchedule,
     address: SocketAddr,
-    /// The revision of the list that the gateway has, if it has one to build on.
+    /// The revision from which to continue; `None` if a snapshot must be fetched first.
     revision: Option<u64>,
-    /// When the current connection last brought an update or a keep-alive.
+    /// When the current connection last received an update or a keep-alive.
     last_received_at: Option<Instant>,
 }
 
 impl<C: Connect, F: FnMut(EndpointUpdate)> Watcher<'_, C, F> {
-    /// Connects again and again, without end.
+    /// Connects in an endless loop, with a delay after each failure.
     async fn run(&mut self, delay_first_call: bool) {
         self.schedule.reset();
         if delay_first_call {
@@ -92,7 +94,7 @@
                 self.schedule.reset();
                 failure_logged = false;
             }
-            // One line for each outage, not for each call that fails in it.
+            // Log one line per outage rather than one per failed call.
             if !failure_logged {
                 failure_logged = true;
                 log::event(&LogEvent::DiscoveryFailed {
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Uses one connection until it fails: fetches the snapshot if there is no list to build on, then watches.
+    /// Opens a connection and uses it until it fails: fetches a snapshot if there is no revision to continue
+    /// from, and then watches.
     async fn run_connection(&mut self, started_at: Instant) -> Result<Infallible, DiscoveryError> {
         let connect_deadline = started_at + CONNECT_TIMEOUT;
         let mut connection =
@@ -127,7 +130,7 @@
         let body_deadline =
             (started_at + SNAPSHOT_TIMEOUT).max(Instant::now() + SNAPSHOT_BODY_TIMEOUT);
         let bytes = read_snapshot(body, body_deadline).await?;
-        self.accept_update(EndpointUpdate::from_json_bytes(&bytes)?);
+        self.process_update(EndpointUpdate::from_json_bytes(&bytes)?);
         Ok(())
     }
 
@@ -151,15 +154,15 @@
                 source: error.into(),
             })?;
             let bytes = body_frame.into_data().unwrap_or_default();
-            // Only a complete frame is a sign of life: pieces of a line that never ends are none.
-            if self.accept_bytes(&mut decoder, &bytes)? {
+            // Only a complete frame extends the deadline. Pieces of a line that never ends do not.
+            if self.process_bytes(&mut decoder, &bytes)? {
                 silence_deadline = Instant::now() + WATCH_SILENCE_TIMEOUT;
             }
         }
     }
 
-    /// Handles the frames that these bytes complete, and returns whether there were any.
-    fn accept_bytes(
+    /// Processes all frames that `bytes` completes. Returns whether there was at least one.
+    fn process_bytes(
         &mut self,
         decoder: &mut FrameDecoder,
         bytes: &Bytes,
@@ -169,21 +172,21 @@
             match decoder.decode(piece)? {
                 None => continue,
                 Some(Frame::KeepAlive) => self.last_received_at = Some(Instant::now()),
-                Some(Frame::Update(update)) => self.accept_update(update),
+                Some(Frame::Update(update)) => self.process_update(update),
             }
             received_frame = true;
         }
         Ok(received_frame)
     }
 
-    fn accept_update(&mut self, update: EndpointUpdate) {
+    fn process_update(&mut self, update: EndpointUpdate) {
         self.revision = Some(update.revision);
         self.last_received_at = Some(Instant::now());
         (self.on_update)(update);
     }
 
-    /// By when the head of a response must have come: within the time that such a discovery may take, but no later
-    /// than `SNAPSHOT_TIMEOUT` after `since`, however late the connection came up.
+    /// Returns the deadline for a response head: the response timeout of the discovery mode from now, but no
+    /// later than `SNAPSHOT_TIMEOUT` after `since`, even if the connection was established late.
     fn head_deadline(&self, since: Instant) -> Instant {
         (Instant::now() + self.schedule.response_timeout()).min(since + SNAPSHOT_TIMEOUT)
     }
