--- a/src/gateway/endpoints/connection.rs
+++ b/src/gateway/endpoints/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint: writing a command, reading responses, closing.
+//! A connection to an endpoint: writes commands and reads responses.
 
 use crate::gateway::endpoints::permits::ConnectionPermit;
 use crate::gateway::endpoints::response::EndpointResponse;
@@ -16,41 +16,43 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// The longest whole response: a value, and a little for the load report and the actual cost.
+/// The maximum length of a response: a value of maximum length, plus space for the load report and the actual
+/// cost.
 const MAX_RESPONSE_BYTES: usize = MAX_VALUE_LEN + 4096;
-/// Buffer capacity that a connection keeps between responses, and may have however full the memory budget is.
+/// The read buffer capacity that a connection retains between responses. It is allowed regardless of the
+/// memory budget.
 const RETAINED_BUFFER_BYTES: usize = 8 * 1024;
-/// Free space in the buffer before each read.
+/// Free space that is reserved in the read buffer before each read.
 const READ_CHUNK_BYTES: usize = 1024;
 
-/// Why the bytes read on a connection could not be used. The connection is closed, and the attempt that it
-/// carried counts as reset.
+/// An error in the bytes that were read from an endpoint. The connection is closed, and its attempt counts as
+/// reset.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EndpointProtocolError {
-    /// All connections together hold as many bytes of incomplete responses as the memory budget allows.
+    /// The incomplete responses of all connections together exceed the memory budget.
     #[error("memory budget for incomplete responses exceeded")]
     OutOfMemory,
-    /// The response is still incomplete at the longest length that a response can have.
+    /// The response is still incomplete after [`MAX_RESPONSE_BYTES`].
     #[error("response exceeds {MAX_RESPONSE_BYTES} bytes")]
     ResponseTooLong,
-    /// The bytes are not a response in the protocol.
+    /// The bytes are not a valid response.
     #[error(transparent)]
     Malformed(#[from] ProtocolError),
 }
 
-/// What a connection is used for.
+/// The attempt that a connection carries, and how far its command has been written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Assignment {
-    /// It carries no attempt: it is new, idle or closed.
+    /// The connection is new, idle or closed, and carries no attempt.
     Unassigned,
-    /// The command is partly written, so the endpoint cannot have begun to execute it.
+    /// The command is not completely written, so the endpoint cannot have started to execute it.
     Writing { request: RequestId },
-    /// The whole command is written, so the endpoint may have executed it.
+    /// The command is completely written, so the endpoint may have executed it.
     AwaitingResponse { request: RequestId },
 }
 
 impl Assignment {
-    /// The request whose attempt the connection carries.
+    /// Returns the request whose attempt the connection carries.
     pub fn request(self) -> Option<RequestId> {
         match self {
             Assignment::Unassigned => None,
@@ -61,12 +63,12 @@
     }
 }
 
-/// A connection to an endpoint.
+/// An open connection with a task that reads responses. The socket closes once the task has ended and the
+/// last reference is dropped.
 pub(crate) struct EndpointConnection {
     stream: TcpStream,
-    /// The endpoint at its other end.
     pub endpoint: EndpointName,
-    /// The incarnation of the endpoint that the connection was opened to.
+    /// The endpoint's incarnation at the time of the connect.
     pub incarnation: u64,
     assignment: Cell<Assignment>,
     handler: Weak<dyn EndpointEventHandler>,
@@ -76,7 +78,7 @@
 }
 
 impl EndpointConnection {
-    /// Takes over an open socket and starts the task that reads responses from it.
+    /// Wraps a connected socket and spawns the task that reads responses from it.
     pub fn open(
         stream: TcpStream,
         endpoint: EndpointName,
@@ -85,8 +87,8 @@
         read_memory: MemoryReservation,
         handler: Weak<dyn EndpointEventHandler>,
     ) -> Rc<EndpointConnection> {
-        // Without this option small commands wait for acknowledgements. A socket that fails here fails again at
-        // its next use, so the error needs no handling of its own.
+        // Without this option, small commands wait for acknowledgements. The error can be ignored, because a
+        // broken socket also fails on its next use.
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(EndpointConnection {
             stream,
@@ -106,13 +108,13 @@
         self.assignment.get()
     }
 
-    /// Ends the connection's part in an attempt, and returns the state that it was in.
+    /// Detaches the connection from its attempt, and returns the previous assignment.
     pub fn unassign(&self) -> Assignment {
         self.assignment.replace(Assignment::Unassigned)
     }
 
-    /// Closes the connection at once: the endpoint sees the end before anything else is decided, and no late
-    /// response is read.
+    /// Closes the connection immediately and aborts its reader. The endpoint sees the end of the stream
+    /// before the gateway makes further decisions, and a late response is never read.
     pub fn close(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
         if let Some(reader) = self.reader.get() {
@@ -120,19 +122,20 @@
         }
     }
 
-    /// Whether the endpoint has closed the connection, or sent bytes that belong to no request. The runtime may
-    /// not have seen that yet, so this asks the socket itself.
+    /// Whether the endpoint has closed the connection or sent unsolicited bytes. Checks the socket directly,
+    /// because the runtime may not have polled these events yet.
     pub fn is_stale(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Writes a request's command and assigns the connection to its attempt. What the socket does not take at
-    /// once is written by a task of its own.
+    /// Writes a request's command and assigns the connection to its attempt. If the socket does not accept
+    /// all bytes immediately, a separate task writes the rest.
     ///
     /// # Errors
-    /// When the connection broke before it took a single byte. It stays unassigned, and is to be closed.
+    /// Fails if the connection broke before any byte was written. The connection remains unassigned, and the
+    /// caller must close it.
     pub fn send_command(
         self: &Rc<EndpointConnection>,
         request: RequestId,
@@ -160,7 +163,7 @@
         let connection = self.clone();
         tokio::task::spawn_local(async move {
             let result = connection.write_all(&remaining).await;
-            // The attempt may have ended meanwhile.
+            // The attempt may have ended while the rest was being written.
             if connection.assignment.get() != (Assignment::Writing { request }) {
                 return;
             }
@@ -201,10 +204,11 @@
         let _ = self.reader.set(reader.abort_handle());
     }
 
-    /// Reads responses until the connection ends.
+    /// Reads responses until the connection ends. Returns `Ok` if the endpoint or the network closed it, or
+    /// if it received bytes that belong to no request.
     ///
     /// # Errors
-    /// When it ends because of the bytes that were read. An end by the endpoint or the network is none.
+    /// Fails if a response is malformed, too long or exceeds the memory budget.
     async fn read_responses(
         self: &Rc<EndpointConnection>,
         handler: &dyn EndpointEventHandler,
@@ -214,7 +218,8 @@
             if self.read_more(&mut buffer).await.is_break() {
                 return Ok(());
             }
-            // Bytes that belong to no request must not be taken for the response to the next one.
+            // Unsolicited bytes end the connection. They must not be taken for the response to the next
+            // request.
             if self.assignment.get() == Assignment::Unassigned {
                 return Ok(());
             }
@@ -239,11 +244,11 @@
             if !nothing_follows {
                 return Ok(());
             }
-            self.recycle(&mut buffer);
+            self.reset_buffer(&mut buffer);
         }
     }
 
-    /// Appends what arrives next. Breaks when the connection has ended.
+    /// Waits for bytes and appends them to the buffer. Breaks if the connection has ended.
     async fn read_more(&self, buffer: &mut Vec<u8>) -> ControlFlow<()> {
         loop {
             if self.stream.readable().await.is_err() {
@@ -259,8 +264,8 @@
         }
     }
 
-    /// Empties the buffer, and gives its memory back after a long response.
-    fn recycle(&self, buffer: &mut Vec<u8>) {
+    /// Clears the buffer, and frees its memory if a long response has made it grow.
+    fn reset_buffer(&self, buffer: &mut Vec<u8>) {
         buffer.clear();
         if buffer.capacity() > RETAINED_BUFFER_BYTES {
             *buffer = Vec::new();
--- a/src/gateway/endpoints/dialer.rs
+++ b/src/gateway/endpoints/dialer.rs
@@ -1,4 +1,4 @@
-//! Opening connections to endpoints, each in a task of its own.
+//! Opens connections to endpoints, each connect in its own task.
 
 use crate::EndpointName;
 use crate::gateway::endpoints::permits::ConnectionPermit;
@@ -10,28 +10,29 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Opens connections to endpoints. It needs no timeout of its own.
+/// A function that connects to an endpoint. It need not have a timeout, because the pool applies one.
 pub type Connector =
     Rc<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = std::io::Result<TcpStream>>>>>;
 
-/// Opening a connection may take the time of the attempt divided by this, so that time for another endpoint remains.
+/// The connect timeout is the attempt's remaining time divided by this, which leaves time to try another
+/// endpoint.
 const CONNECT_TIMEOUT_DIVISOR: u32 = 4;
-/// However little time is left, a connection may take this long to open.
+/// Lower bound on the connect timeout, however little time the attempt has left.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// The connect timeout of the settings is kept within these bounds.
-const LEAST_SETTINGS_TIMEOUT: Duration = Duration::from_millis(1);
-const LARGEST_SETTINGS_TIMEOUT: Duration = Duration::from_mins(1);
+/// The connect timeout from the settings is clamped to this range.
+const MIN_CONFIGURED_TIMEOUT: Duration = Duration::from_millis(1);
+const MAX_CONFIGURED_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A connection that is being opened, and the attempt that it is opened for.
+/// A connect in progress, with the attempt that it serves.
 pub(crate) struct Dial {
     pub attempt: AttemptId,
     pub endpoint: EndpointName,
-    /// The incarnation of the endpoint when the connect began.
+    /// The endpoint's incarnation when the connect started.
     pub incarnation: u64,
     pub permit: ConnectionPermit,
 }
 
-/// Opens connections and reports each as an [`EndpointEvent::ConnectFinished`].
+/// Opens connections and reports the result of each connect as an [`EndpointEvent::ConnectFinished`].
 pub(crate) struct Dialer {
     connector: Connector,
     max_connect_timeout: Duration,
@@ -39,22 +40,21 @@
 }
 
 impl Dialer {
-    /// Opens plain TCP connections, each within `max_connect_timeout`.
+    /// Creates a dialer for plain TCP connections. A connect takes at most `max_connect_timeout`.
     pub fn new(max_connect_timeout: Duration, handler: Weak<dyn EndpointEventHandler>) -> Dialer {
         Dialer {
             connector: Rc::new(|address| Box::pin(TcpStream::connect(address))),
             max_connect_timeout: max_connect_timeout
-                .clamp(LEAST_SETTINGS_TIMEOUT, LARGEST_SETTINGS_TIMEOUT),
+                .clamp(MIN_CONFIGURED_TIMEOUT, MAX_CONFIGURED_TIMEOUT),
             handler,
         }
     }
 
-    /// Replaces the way in which connections are opened.
     pub fn set_connector(&mut self, connector: Connector) {
         self.connector = connector;
     }
 
-    /// Begins to open a connection for an attempt that has this much time left.
+    /// Starts a connect for an attempt whose remaining time is `remaining`.
     pub fn dial(&self, dial: Dial, address: SocketAddr, remaining: Duration) {
         let Some(handler) = self.handler.upgrade() else {
             return;
@@ -62,7 +62,7 @@
         let connect = (self.connector)(address);
         let connect_timeout = self.connect_timeout(remaining);
         tokio::task::spawn_local(async move {
-            // A machine that has vanished never answers, so the connect itself may never end.
+            // A connect to a host that is down or unreachable may never complete on its own.
             let connected = timeout(connect_timeout, connect).await;
             let stream = connected.ok().and_then(Result::ok);
             handler.handle_endpoint_event(EndpointEvent::ConnectFinished { dial, stream });
@@ -70,7 +70,7 @@
     }
 
     fn connect_timeout(&self, remaining: Duration) -> Duration {
-        let attempt_part = (remaining / CONNECT_TIMEOUT_DIVISOR).max(MIN_CONNECT_TIMEOUT);
-        attempt_part.min(self.max_connect_timeout)
+        let attempt_share = (remaining / CONNECT_TIMEOUT_DIVISOR).max(MIN_CONNECT_TIMEOUT);
+        attempt_share.min(self.max_connect_timeout)
     }
 }
--- a/src/gateway/endpoints/idle_connections.rs
+++ b/src/gateway/endpoints/idle_connections.rs
@@ -1,19 +1,19 @@
-//! The idle connections to one endpoint, in the order in which they became idle.
+//! The idle connections to one endpoint, available for reuse.
 
 use crate::gateway::endpoints::connection::EndpointConnection;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection rests this long after a response before it is used again: surplus bytes of the response may arrive
-/// a moment later, and must not be taken for the next response.
-pub(super) const REUSE_REST: Duration = Duration::from_millis(5);
+/// The minimum time between a response and the reuse of its connection. Surplus bytes of the response may
+/// arrive a moment later and must not be taken for the next response.
+pub(super) const REUSE_DELAY: Duration = Duration::from_millis(5);
 
 struct IdleConnection {
     connection: Rc<EndpointConnection>,
     idle_since: Instant,
 }
 
-/// The idle connections to one endpoint, oldest first.
+/// Idle connections in the order in which they became idle.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
     connections: Vec<IdleConnection>,
@@ -27,13 +27,14 @@
         });
     }
 
-    /// Takes a usable connection that has rested for [`REUSE_REST`]. Of several it is the one that was used last, so
-    /// that the others can grow old and be closed. Stale ones found on the way are closed.
+    /// Removes and returns the most recently used connection that has been idle for at least [`REUSE_DELAY`].
+    /// Choosing the most recent one lets surplus connections reach their idle timeout. Closes stale
+    /// connections that it finds.
     pub fn take_newest(&mut self, now: Instant) -> Option<Rc<EndpointConnection>> {
         while let Some(position) = self
             .connections
             .iter()
-            .rposition(|idle| now.saturating_duration_since(idle.idle_since) >= REUSE_REST)
+            .rposition(|idle| now.saturating_duration_since(idle.idle_since) >= REUSE_DELAY)
         {
             let connection = self.connections.remove(position).connection;
             if !connection.is_stale() {
@@ -44,19 +45,19 @@
         None
     }
 
-    /// Since when the oldest connection has been idle; `None` if there is none.
+    /// Returns the time since which the longest idle connection has been idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.connections.first().map(|idle| idle.idle_since)
     }
 
-    /// Closes the connection that has been idle the longest.
+    /// Closes the longest idle connection, if there is one.
     pub fn close_oldest(&mut self) {
         if !self.connections.is_empty() {
             self.connections.remove(0).connection.close();
         }
     }
 
-    /// Closes the connections that have been idle for longer than this.
+    /// Closes the connections that have been idle for longer than `limit`.
     pub fn close_idle_longer_than(&mut self, limit: Duration, now: Instant) {
         let expired = self
             .connections
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Drops a connection that has ended by itself.
+    /// Removes a connection that was closed by the endpoint or the network.
     pub fn remove(&mut self, ended: &Rc<EndpointConnection>) {
         self.connections
             .retain(|idle| !Rc::ptr_eq(&idle.connection, ended));
--- a/src/gateway/endpoints/mod.rs
+++ b/src/gateway/endpoints/mod.rs
@@ -1,8 +1,10 @@
-//! The endpoint side of the gateway: what discovery listed, the connections to it, and the responses read on them.
+//! The endpoint side of the gateway: the registry of endpoints, the pool of connections to them, and the
+//! parser of their responses.
 //!
-//! Nothing here knows the event loop. A connection reports what happens on it to an [`EndpointEventHandler`],
-//! synchronously and from its own task. A connection carries one attempt at a time, so closing the connection is
-//! enough to abort the attempt, and no late response can be taken for the response to another request.
+//! This module does not depend on the event loop. Each connection reports its events synchronously, from its
+//! own task, to an [`EndpointEventHandler`]. A connection carries one attempt at a time. Closing the
+//! connection therefore aborts the attempt, and a late response cannot be taken for the response to another
+//! request.
 
 mod connection;
 mod dialer;
@@ -22,41 +24,41 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// An attempt, as the connections to endpoints know it.
+/// Identifies an attempt to send a request to an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub request: RequestId,
-    /// The number of the attempt among those of the request, from 0.
+    /// The sequence number of the attempt within its request, from 0.
     pub number: u32,
 }
 
-/// What happens on the connections to endpoints.
+/// An event on a connection to an endpoint.
 pub(crate) enum EndpointEvent<'a> {
-    /// A connect has ended. The attempt that it was for may have ended before.
+    /// A connect has succeeded or failed. Its attempt may have ended already.
     ConnectFinished {
         dial: Dial,
-        /// The open socket; `None` if the connect failed or took too long.
+        /// The open socket; `None` if the connect failed or timed out.
         stream: Option<TcpStream>,
     },
-    /// A response arrived on a connection that carries an attempt.
+    /// A connection that carries an attempt has received a complete response.
     ResponseReceived {
         connection: &'a Rc<EndpointConnection>,
         response: EndpointResponse<'a>,
-        /// Whether no further bytes came behind the response. If some did, the connection cannot be used again.
+        /// Whether the response was followed by no further bytes. Otherwise the connection cannot be reused.
         nothing_follows: bool,
     },
-    /// The rest of a command could not be written, and the connection still carried its attempt.
+    /// Writing the rest of a command failed while the connection still carried its attempt.
     WriteFailed { request: RequestId },
-    /// A connection has ended.
+    /// The endpoint or the network closed a connection, or the bytes that it received made it unusable.
     ConnectionClosed {
         connection: &'a Rc<EndpointConnection>,
-        /// What was wrong with the bytes that were read, if that is why the connection ended.
+        /// The protocol error, if one ended the connection.
         error: Option<EndpointProtocolError>,
     },
 }
 
-/// Receives the events of all endpoint connections.
+/// Handles the events of all endpoint connections.
 pub(crate) trait EndpointEventHandler {
-    /// Handles one event before it returns. The handler may close connections and open or use others meanwhile.
+    /// Handles one event synchronously. During the call the handler may open, use and close connections.
     fn handle_endpoint_event(&self, event: EndpointEvent<'_>);
 }
--- a/src/gateway/endpoints/permits.rs
+++ b/src/gateway/endpoints/permits.rs
@@ -1,15 +1,15 @@
-//! Permits that bound the number of open connections to all endpoints together.
+//! Permits that limit the total number of connections to all endpoints.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the connections that are open or being opened.
+/// Issues permits and counts those in use.
 pub(crate) struct ConnectionPermits {
     in_use: Rc<Cell<usize>>,
     limit: usize,
 }
 
-/// Permission for one connection, from before its connect until its descriptor is really closed.
+/// A permit for one connection. It is held from before the connect until the file descriptor is closed.
 pub(crate) struct ConnectionPermit {
     in_use: Rc<Cell<usize>>,
 }
@@ -22,13 +22,12 @@
         }
     }
 
-    /// Whether all permits are in use.
     pub fn exhausted(&self) -> bool {
         self.in_use.get() >= self.limit
     }
 
-    /// Issues a permit, also past the limit: the caller has then closed an idle connection, whose own permit is
-    /// released as soon as its task has ended.
+    /// Issues a permit, even beyond the limit. At the limit the caller must first close an idle connection,
+    /// whose permit is released as soon as its task has ended.
     pub fn issue(&self) -> ConnectionPermit {
         self.in_use.set(self.in_use.get() + 1);
         ConnectionPermit {
--- a/src/gateway/endpoints/pool.rs
+++ b/src/gateway/endpoints/pool.rs
@@ -1,10 +1,10 @@
-//! The connections to all endpoints: opening, keeping idle ones for reuse, closing old ones.
+//! The connection pool for all endpoints: opens connections, keeps idle ones for reuse, and closes old ones.
 
 use crate::EndpointName;
 use crate::gateway::discovery::EndpointUpdate;
 use crate::gateway::endpoints::connection::EndpointConnection;
 use crate::gateway::endpoints::dialer::{Connector, Dial, Dialer};
-use crate::gateway::endpoints::idle_connections::REUSE_REST;
+use crate::gateway::endpoints::idle_connections::REUSE_DELAY;
 use crate::gateway::endpoints::permits::{ConnectionPermit, ConnectionPermits};
 use crate::gateway::endpoints::registry::{EndpointRegistry, RegisteredEndpoint, RegistryChange};
 use crate::gateway::endpoints::{AttemptId, EndpointEventHandler};
@@ -13,26 +13,27 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Idle connections are closed after the time after which endpoints close them, divided by this.
+/// Divides the endpoints' idle timeout into that of the pool, so that the pool closes an idle connection
+/// first.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
-/// Idle connections are looked through this many times within their idle timeout.
+/// How often idle connections are checked for expiry within one idle timeout.
 const REAPS_PER_IDLE_TIMEOUT: u32 = 8;
 const MIN_REAP_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_REAP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What an [`EndpointPool`] may use.
+/// The resource limits of an [`EndpointPool`].
 pub(crate) struct EndpointPoolLimits {
-    /// The most connections to all endpoints together, also counting those that are being opened.
+    /// The limit on connections to all endpoints together, including those being opened.
     pub max_connections: usize,
-    /// The most bytes that have been read, on all connections together, of responses that are not complete yet.
+    /// The limit on buffered bytes of incomplete responses, for all connections together.
     pub read_memory_bytes: usize,
-    /// The longest time that opening a connection may take.
+    /// The upper bound on the time to open a connection.
     pub connect_timeout: Duration,
-    /// How long endpoints let a connection be idle before they close it.
+    /// How long a connection may be idle before the endpoint closes it.
     pub endpoint_idle_timeout: Duration,
 }
 
-/// The listed endpoints and the connections to them.
+/// The registered endpoints, their idle connections, and the limits that all connections share.
 pub(crate) struct EndpointPool {
     registry: EndpointRegistry,
     permits: ConnectionPermits,
@@ -43,7 +44,7 @@
 }
 
 impl EndpointPool {
-    /// An empty pool. What happens on its connections goes to `handler`.
+    /// Creates an empty pool that reports the events of its connections to `handler`.
     pub fn new(
         limits: &EndpointPoolLimits,
         handler: Weak<dyn EndpointEventHandler>,
@@ -58,27 +59,27 @@
         }
     }
 
-    /// Replaces the way in which connections are opened, which is plain TCP by default.
+    /// Replaces the function that opens connections. The default opens plain TCP connections.
     pub fn set_connector(&mut self, connector: Connector) {
         self.dialer.set_connector(connector);
     }
 
-    /// Applies an update of the list. Closes the idle connections that it makes useless.
+    /// Applies an update from discovery, and closes the idle connections that it makes unusable.
     pub fn apply_update(&mut self, update: &EndpointUpdate) -> RegistryChange {
         self.registry.apply(update)
     }
 
-    /// Whether a new command may be sent on a connection: its endpoint is ready, and still the process that the
-    /// connection was opened to.
+    /// Whether a new command may be sent on a connection: its endpoint is ready and has not restarted or
+    /// moved to another address since the connection was opened.
     pub fn is_usable(&self, connection: &EndpointConnection) -> bool {
         self.registry
             .get(&connection.endpoint)
             .is_some_and(|entry| is_current(entry, connection))
     }
 
-    /// Begins to open a connection for an attempt that has this much time left; an
-    /// [`EndpointEvent::ConnectFinished`](crate::gateway::endpoints::EndpointEvent::ConnectFinished) reports the end.
-    /// False if that is not possible: the endpoint is not ready, or there is no permit for another connection.
+    /// Starts to open a connection for an attempt whose remaining time is `remaining`. An
+    /// [`EndpointEvent::ConnectFinished`](crate::gateway::endpoints::EndpointEvent::ConnectFinished) reports
+    /// the result. Returns `false` if the endpoint is not ready or no connection permit is available.
     pub fn dial(
         &mut self,
         attempt: AttemptId,
@@ -107,13 +108,13 @@
         true
     }
 
-    /// Takes over the socket that a connect has opened, and begins to read from it.
+    /// Turns the socket of a successful connect into a connection, and starts to read from it.
     pub fn finish_dial(&self, dial: Dial, stream: TcpStream) -> Rc<EndpointConnection> {
         self.open_connection(stream, dial.endpoint, dial.incarnation, dial.permit)
     }
 
-    /// Adds an open connection, on which nothing was sent yet, to the idle connections of a listed endpoint.
-    /// Without a permit for it, or if the endpoint is not listed, the connection is closed.
+    /// Adds an open, unused connection to the idle connections of an endpoint. Closes it if the endpoint is
+    /// not registered or no connection permit is available.
     pub fn adopt_connection(&mut self, endpoint: &str, stream: TcpStream) {
         let Some(incarnation) = self.registry.get(endpoint).map(|entry| entry.incarnation) else {
             return;
@@ -122,9 +123,9 @@
             return;
         };
         let connection = self.open_connection(stream, endpoint.into(), incarnation, permit);
-        // It carried no response, so it needs no rest.
+        // No response was received on this connection, so the reuse delay does not apply.
         let now = Instant::now();
-        self.put_idle(&connection, now.checked_sub(REUSE_REST).unwrap_or(now));
+        self.put_idle(&connection, now.checked_sub(REUSE_DELAY).unwrap_or(now));
     }
 
     fn open_connection(
@@ -144,8 +145,8 @@
         )
     }
 
-    /// A permit for one more connection. When all are in use, the connection that has been idle the longest, to
-    /// whichever endpoint, is closed first; without any idle connection there is no permit.
+    /// Returns a permit for one more connection. If all permits are in use, closes the longest idle
+    /// connection of any endpoint first. Returns `None` if there is no idle connection to close.
     fn acquire_permit(&mut self) -> Option<ConnectionPermit> {
         if self.permits.exhausted() {
             let (_, oldest) = self
@@ -158,12 +159,13 @@
         Some(self.permits.issue())
     }
 
-    /// Takes an idle connection to this endpoint that may be used again.
+    /// Removes and returns an idle connection to this endpoint that can be reused.
     pub fn take_idle(&mut self, endpoint: &str, now: Instant) -> Option<Rc<EndpointConnection>> {
         self.registry.get_mut(endpoint)?.idle.take_newest(now)
     }
 
-    /// Keeps a connection for reuse, or closes it if its endpoint is not ready any more or has restarted.
+    /// Keeps a connection for reuse, or closes it if its endpoint is no longer ready, has restarted or has
+    /// moved.
     pub fn put_idle(&mut self, connection: &Rc<EndpointConnection>, idle_since: Instant) {
         connection.unassign();
         match self.registry.get_mut(&connection.endpoint) {
@@ -174,15 +176,16 @@
         }
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection that was closed by the endpoint or the network.
     pub fn remove(&mut self, connection: &Rc<EndpointConnection>) {
         if let Some(entry) = self.registry.get_mut(&connection.endpoint) {
             entry.idle.remove(connection);
         }
     }
 
-    /// Closes the connections that have been idle for too long, and says when to look again: endpoints close idle
-    /// connections too, and a request that crosses such a close is reset.
+    /// Closes the connections whose idle timeout has expired, and returns the time of the next check. The
+    /// pool must close idle connections before the endpoints do, because a request sent while the endpoint
+    /// closes its connection is reset.
     pub fn reap_idle(&mut self, now: Instant) -> Instant {
         for entry in self.registry.entries_mut() {
             entry.idle.close_idle_longer_than(self.idle_timeout, now);
--- a/src/gateway/endpoints/registry.rs
+++ b/src/gateway/endpoints/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery has listed, each with its idle connections.
+//! The registry of endpoints known from discovery, each with its idle connections.
 
 use crate::gateway::discovery::{EndpointUpdate, ListedEndpoint};
 use crate::gateway::endpoints::idle_connections::IdleConnections;
@@ -6,13 +6,14 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// What discovery says of an endpoint, and the idle connections to it.
+/// The latest state of an endpoint as reported by discovery, with the idle connections to it.
 pub(crate) struct RegisteredEndpoint {
     pub address: SocketAddr,
     pub state: EndpointState,
-    /// Grows with each restart and each new address. Connections to an earlier incarnation are of no use.
+    /// Incremented on each restart and each change of address. Connections to an earlier incarnation must not
+    /// be used.
     pub incarnation: u64,
-    /// The endpoint's last start in Unix time; zero if long ago.
+    /// The endpoint's last start in Unix time; zero if it was long ago.
     started_at: Timestamp,
     pub idle: IdleConnections,
 }
@@ -23,17 +24,17 @@
     }
 }
 
-/// What an update has changed beyond its own lines.
+/// Consequences of an update that its entries do not state explicitly.
 #[derive(Default)]
 pub(crate) struct RegistryChange {
-    /// Endpoints that have restarted: what was in flight at their former incarnation is lost.
+    /// Endpoints that have restarted. The attempts in flight on their previous process are lost.
     pub restarted: Vec<EndpointName>,
-    /// Endpoints whose address now belongs to one that started later: they are gone, whether or not discovery has
-    /// said so.
+    /// Endpoints whose address has been taken over by another endpoint, one that did not start earlier. They
+    /// are treated as removed even if discovery has not reported the removal.
     pub replaced: Vec<EndpointName>,
 }
 
-/// All endpoints that discovery has listed and not removed.
+/// The endpoints that discovery has reported and not removed, by name.
 #[derive(Default)]
 pub(crate) struct EndpointRegistry {
     endpoints: HashMap<EndpointName, RegisteredEndpoint>,
@@ -52,7 +53,7 @@
         self.endpoints.values_mut()
     }
 
-    /// Applies an update of the list.
+    /// Applies a snapshot or delta from discovery, and closes the idle connections that it makes unusable.
     pub fn apply(&mut self, update: &EndpointUpdate) -> RegistryChange {
         let mut change = RegistryChange::default();
         let mut at_new_address = Vec::new();
@@ -64,18 +65,21 @@
             if self.is_ready_at_new_address(&name, listed) {
                 at_new_address.push(name.clone());
             }
-            let has_restarted = self.apply_line(&name, listed);
+            let has_restarted = self.apply_listed_endpoint(&name, listed);
             if has_restarted {
                 change.restarted.push(name);
             }
         }
         change.replaced = self.remove_replaced(at_new_address);
-        self.drop_unusable();
+        self.remove_unusable();
         change
     }
 
     fn mark_unlisted_as_removed(&mut self, listed: &[ListedEndpoint]) {
-        let listed_names: HashSet<&str> = listed.iter().map(|line| line.name.as_str()).collect();
+        let listed_names: HashSet<&str> = listed
+            .iter()
+            .map(|endpoint| endpoint.name.as_str())
+            .collect();
         for (name, entry) in &mut self.endpoints {
             if !listed_names.contains(&**name) {
                 entry.state = EndpointState::Removed;
@@ -91,8 +95,9 @@
                 .is_none_or(|entry| entry.address != listed.address)
     }
 
-    /// Applies one line of an update. Returns whether the endpoint has restarted since the line before.
-    fn apply_line(&mut self, name: &EndpointName, listed: &ListedEndpoint) -> bool {
+    /// Creates or updates the entry of one endpoint. Returns whether the endpoint has restarted since its
+    /// last update.
+    fn apply_listed_endpoint(&mut self, name: &EndpointName, listed: &ListedEndpoint) -> bool {
         let entry = self
             .endpoints
             .entry(name.clone())
@@ -103,7 +108,8 @@
                 started_at: listed.started_at,
                 idle: IdleConnections::default(),
             });
-        // At a new address alone the old process may still answer what it has, so that is no restart.
+        // A change of address alone is not a restart: the old process may still answer its requests in
+        // flight.
         let has_restarted = listed.started_at > entry.started_at;
         if has_restarted || entry.address != listed.address {
             entry.incarnation += 1;
@@ -115,14 +121,16 @@
         has_restarted
     }
 
-    /// Marks the endpoints as removed whose address belongs to one of `at_new_address` that started no earlier.
+    /// Marks each endpoint as removed whose address is now that of an endpoint in `at_new_address` that did
+    /// not start earlier. Returns the names of the endpoints marked.
     fn remove_replaced(&mut self, at_new_address: Vec<EndpointName>) -> Vec<EndpointName> {
         let mut replaced = Vec::new();
         if at_new_address.is_empty() {
             return replaced;
         }
         let names_by_address = self.names_by_address();
-        // Of two endpoints that do not say when they started, the one listed last has the address.
+        // If neither of two endpoints reports a start time, the one that is later in the list owns the
+        // address.
         for owner_name in at_new_address.into_iter().rev() {
             let Some(owner) = self.endpoints.get(&owner_name).filter(|e| e.is_ready()) else {
                 continue;
@@ -142,8 +150,8 @@
         replaced
     }
 
-    /// The endpoints at each address. With it each endpoint is compared with those at its own address only, since
-    /// the first list may hold tens of thousands.
+    /// Returns an index of endpoint names by address. The index avoids a comparison of all pairs of
+    /// endpoints, of which the first list may contain tens of thousands.
     fn names_by_address(&self) -> HashMap<SocketAddr, Vec<EndpointName>> {
         let mut names: HashMap<SocketAddr, Vec<EndpointName>> = HashMap::new();
         for (name, entry) in &self.endpoints {
@@ -152,8 +160,8 @@
         names
     }
 
-    /// Closes the idle connections to endpoints that get no new requests, and drops those that are removed.
-    fn drop_unusable(&mut self) {
+    /// Closes the idle connections of all endpoints that are not ready, and deletes the removed endpoints.
+    fn remove_unusable(&mut self) {
         for entry in self.endpoints.values_mut().filter(|e| !e.is_ready()) {
             entry.idle.close_all();
         }
--- a/src/gateway/endpoints/response.rs
+++ b/src/gateway/endpoints/response.rs
@@ -1,29 +1,29 @@
-//! What a response of an endpoint says: the value, or what its error line means, with the load report and the
-//! actual cost that may come along.
+//! Interprets an endpoint's response: a value or an error line, with an optional load report and actual cost.
 
 use crate::gateway::resp::Reply;
 use crate::{LoadReport, Tokens};
 
-/// A response of an endpoint, by what it means to the gateway.
+/// An endpoint's response, classified by its outcome.
 pub(crate) enum EndpointResponse<'a> {
     /// The request was executed.
     Success {
-        /// The whole bulk string of the value, head and end included, as the client gets it.
+        /// The complete bulk string of the value with its header and terminator, as forwarded to the client.
         value: &'a [u8],
-        /// The actual cost, as the endpoint states it.
+        /// The actual cost as reported by the endpoint.
         actual_cost: Option<Tokens>,
         load_report: Option<LoadReport>,
     },
     /// The endpoint rejected the request without executing it.
     Overloaded { load_report: Option<LoadReport> },
-    /// The request failed, and may have been executed.
+    /// The request failed. The endpoint may have executed it.
     Failed { load_report: Option<LoadReport> },
-    /// An error line that no endpoint writes. It may be noise, and so may be what follows it.
+    /// The error line is not part of the protocol. Both this line and the bytes that follow it may be
+    /// corrupt.
     UnknownError,
 }
 
 impl<'a> EndpointResponse<'a> {
-    /// Interprets a parsed reply; `bytes` is what it was parsed from.
+    /// Interprets a parsed reply. `bytes` is the buffer that the reply was parsed from.
     pub fn read(reply: Reply, bytes: &'a [u8]) -> EndpointResponse<'a> {
         match reply {
             Reply::Served {
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Interprets an error line, without its sign and end. Only `BUSY`, alone or with one load report, promises
-    /// that the request was not executed.
+    /// Interprets an error line without its leading `-` and line end. Only `BUSY`, alone or with one load
+    /// report, guarantees that the request was not executed.
     fn read_error_line(line: &[u8]) -> EndpointResponse<'a> {
         let mut words = line.split(|byte| *byte == b' ');
         let first = words.next().unwrap_or_default();
@@ -58,8 +58,8 @@
     }
 }
 
-/// Reads comma-separated `key=value` fields. A value that is no finite number from 0 up becomes `None`, and what
-/// is no field at all is skipped.
+/// Parses comma-separated `key=value` fields. A value that is not a finite, non-negative number becomes
+/// `None`; text without a `=` is skipped.
 fn parse_fields(text: &[u8]) -> impl Iterator<Item = (&str, Option<f64>)> {
     std::str::from_utf8(text)
         .unwrap_or_default()
@@ -74,13 +74,13 @@
         .filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
 
-/// Reads the actual cost from the usage fields of a response.
+/// Returns the value of the `cost` field among the usage fields of a response.
 fn parse_actual_cost(text: &[u8]) -> Option<Tokens> {
     let (_, cost) = parse_fields(text).find(|(key, _)| *key == "cost")?;
     cost.map(Tokens)
 }
 
-/// Reads a load report; `None` if the text reports nothing that is known.
+/// Parses a load report. Returns `None` if it has no known field with a valid value.
 fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (key, value) in parse_fields(text) {
