--- a/src/bin/marlshelf-gateway/main.rs
+++ b/src/bin/marlshelf-gateway/main.rs
@@ -1,6 +1,6 @@
-//! The gateway as a process: a single-threaded runtime around [`marlshelf::gateway::run`].
+//! The gateway program: runs [`marlshelf::gateway::run`] on a single-threaded runtime.
 //!
-//! The exit code is 0 after a graceful shutdown, and 1 if the gateway could not start.
+//! Exits with code 0 after a graceful shutdown, and with code 1 if startup fails.
 
 use marlshelf::gateway::StartupError;
 use marlshelf::gateway::log::{self, LogEvent};
--- a/src/gateway/bind.rs
+++ b/src/gateway/bind.rs
@@ -1,4 +1,4 @@
-//! Binds the addresses of the gateway, which its previous incarnation may still use.
+//! Binds the listening addresses, retrying while the previous process of the gateway still holds them.
 
 use crate::gateway::log::{self, LogEvent};
 use std::fmt;
@@ -8,22 +8,23 @@
 use thiserror::Error;
 use tokio::time::{Instant, sleep};
 
-/// How long to wait for an address that is in use. The previous incarnation takes some seconds to answer its
-/// clients and its peers; a gateway that is not ready after this time counts as failed to start.
+/// How long binding is retried while the address is in use. A previous process that is shutting down holds
+/// the address for some seconds, until it has answered its clients and peers. A gateway that is not ready
+/// after this time counts as failed to start.
 pub const BIND_TIMEOUT: Duration = Duration::from_secs(30);
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What an address is bound for.
+/// The purpose of a listening socket, as named in log lines and errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketPurpose {
-    /// Connections of clients.
+    /// A TCP listener for client connections.
     Clients,
-    /// Gossip datagrams of other gateways.
+    /// A UDP socket for gossip from other gateways.
     Gossip,
 }
 
 impl fmt::Display for SocketPurpose {
-    /// Writes what the gateway cannot do without the address.
+    /// Writes the verb phrase that completes a message of the form "cannot ...".
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             SocketPurpose::Clients => "listen",
@@ -32,23 +33,23 @@
     }
 }
 
-/// An address could not be bound.
+/// The error that [`bind_with_retry`] returns.
 #[derive(Debug, Error)]
 #[error("cannot {purpose} at {address}: {source}")]
 pub struct BindError {
-    /// What the address is for.
+    /// The purpose of the socket that could not be bound.
     pub purpose: SocketPurpose,
-    /// The address.
+    /// The configured address.
     pub address: SocketAddr,
-    /// The last error of the operating system.
+    /// The operating system's error from the last attempt.
     pub source: io::Error,
 }
 
-/// Binds an address, and waits up to [`BIND_TIMEOUT`] while another process uses it. Cancelling the future gives
-/// up the attempt and leaves nothing bound.
+/// Binds `address` with `bind`, retrying for up to [`BIND_TIMEOUT`] while another process uses it. Dropping
+/// the future cancels the retries and leaves nothing bound.
 ///
 /// # Errors
-/// When the address is still in use after [`BIND_TIMEOUT`], or at once when it cannot be bound for another reason.
+/// Fails if the address is still in use after [`BIND_TIMEOUT`], and immediately on any other error.
 pub async fn bind_with_retry<T>(
     purpose: SocketPurpose,
     address: SocketAddr,
@@ -61,8 +62,8 @@
             Ok(socket) => return Ok(socket),
             Err(error) => error,
         };
-        let may_become_free = source.kind() == ErrorKind::AddrInUse && Instant::now() < deadline;
-        if !may_become_free {
+        let should_retry = source.kind() == ErrorKind::AddrInUse && Instant::now() < deadline;
+        if !should_retry {
             return Err(BindError {
                 purpose,
                 address,
--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration of one gateway: the file that `GW_CONFIG` names, and the variables that override it.
+//! The configuration of one gateway: a JSON file at the path in `GW_CONFIG`, and environment variables that
+//! override some of its keys.
 
 pub use crate::gateway::configuration_error::{
     CONFIG_FILE_VARIABLE, ConfigurationError, ConfigurationSource,
@@ -10,52 +11,50 @@
 use std::env;
 use std::net::SocketAddr;
 
-/// Overrides the name of the gateway.
+/// Environment variable that overrides the gateway name.
 pub const NAME_VARIABLE: &str = "GW_NAME";
-/// Overrides the address at which clients connect.
+/// Environment variable that overrides the client listen address.
 pub const LISTEN_VARIABLE: &str = "GW_LISTEN";
-/// Overrides the address of discovery, at the start of the process only.
+/// Environment variable that overrides the discovery address at startup. A reload ignores it.
 pub const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
 
-/// Traffic fills the memory with four kinds of data: incomplete commands, commands in flight, incomplete responses,
-/// and responses that clients do not read. Each may take the memory limit divided by this. The rest is for everything
-/// else.
-const MEMORY_PURPOSE_DIVISOR: usize = 8;
-/// The fewest and the most descriptors that the configuration may set.
+/// Divides the memory limit into the budget of one kind of traffic data. There are four kinds: incomplete
+/// commands, commands in flight, incomplete responses, and responses that clients have not read. The
+/// remaining half of the limit is for everything else.
+const MEMORY_BUDGET_DIVISOR: usize = 8;
 const MIN_DESCRIPTORS: usize = 64;
 const MAX_DESCRIPTORS: usize = 1 << 20;
-/// The least and the most memory that the configuration may set, in MiB.
 const MIN_MEMORY_MIB: usize = 32;
 const MAX_MEMORY_MIB: usize = 1 << 20;
 const BYTES_PER_MIB: usize = 1 << 20;
 
-/// The configuration of one gateway.
+/// The validated configuration of one gateway.
 pub struct Configuration {
-    /// The name of the gateway, the same after a restart.
+    /// The name of the gateway in log lines. It is the same after a restart.
     pub name: String,
-    /// The address at which clients connect.
+    /// The address on which the gateway accepts client connections. With port 0 the system chooses one.
     pub listen_address: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service or of the local discovery agent.
     pub discovery_address: SocketAddr,
-    /// The seed of random numbers, new with each start.
+    /// The seed of all random numbers. The deployment sets a new one for each start.
     pub seed: u64,
-    /// The most file descriptors that the process may hold.
+    /// The limit on open file descriptors of the process, clamped to the range from 64 to 1,048,576.
     pub max_descriptors: usize,
-    /// The most memory that the process may use, in bytes.
+    /// The limit on the memory of the process in bytes, clamped to the range from 32 MiB to 1 TiB.
     pub max_memory_bytes: usize,
-    /// The address at which gossip arrives, if gossip is enabled.
+    /// The address on which the gateway receives gossip; `None` if gossip is disabled or no address is set.
     pub gossip_address: Option<SocketAddr>,
-    /// The gossip addresses of all gateways of the tier, by their numbers.
+    /// The gossip addresses of all gateways of the tier, indexed by gateway id.
     pub peer_addresses: Vec<SocketAddr>,
-    /// The endpoint list as it was last cached.
-    pub known_endpoints: Option<EndpointUpdate>,
-    /// The settings as they are serialized.
+    /// The endpoint list cached from an earlier process; `None` if there is none or it is malformed.
+    pub cached_endpoints: Option<EndpointUpdate>,
+    /// The settings document, for the settings that are used outside the decision engine.
     pub document: SettingsDocument,
-    /// The settings that the decision engine needs.
+    /// The decision engine's settings, converted from `document`.
     pub settings: Settings,
 }
 
-/// The file as it is serialized.
+/// The serialized form of the configuration file.
 #[derive(Deserialize)]
 struct ConfigurationFile {
     #[serde(default)]
@@ -93,63 +92,64 @@
     }
 }
 
-/// Which values the environment overrides.
+/// Which environment variables take precedence over the file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EnvironmentOverrides {
-    /// All that have a variable.
+    /// All of them, at startup.
     All,
-    /// All but the address of discovery. On a reload the file may have been changed since the start, and the
-    /// environment cannot have been.
+    /// All but the one for the discovery address, on a reload: the file may have changed since startup, while
+    /// the environment of a running process cannot.
     AllButDiscovery,
 }
 
 impl Configuration {
-    /// Reads the file that `GW_CONFIG` names. `GW_NAME`, `GW_LISTEN` and `GW_DISCOVERY` override it.
+    /// Reads the configuration file at startup. `GW_NAME`, `GW_LISTEN` and `GW_DISCOVERY` override its
+    /// values.
     ///
     /// # Errors
-    /// When the configuration cannot be used: see [`ConfigurationError`].
+    /// Returns a [`ConfigurationError`] if the file cannot be read or a value is missing or invalid.
     pub fn read() -> Result<Configuration, ConfigurationError> {
         Self::load(EnvironmentOverrides::All)
     }
 
-    /// Reads the file again. The address of discovery now comes from the file, which may have been changed since
-    /// the environment of the process was set.
+    /// Reads the configuration file again. `GW_DISCOVERY` no longer applies, because the discovery address in
+    /// the file may be newer than the environment of the process.
     ///
     /// # Errors
-    /// When the configuration cannot be used: see [`ConfigurationError`].
+    /// Returns a [`ConfigurationError`] if the file cannot be read or a value is missing or invalid.
     pub fn reload() -> Result<Configuration, ConfigurationError> {
         Self::load(EnvironmentOverrides::AllButDiscovery)
     }
 
-    /// How many bytes of memory each of the kinds of data may take that traffic fills it with.
+    /// Returns the memory budget in bytes for each kind of traffic data, such as incomplete commands.
     #[must_use]
-    pub fn memory_per_purpose(&self) -> usize {
-        self.max_memory_bytes / MEMORY_PURPOSE_DIVISOR
+    pub fn memory_budget_bytes(&self) -> usize {
+        self.max_memory_bytes / MEMORY_BUDGET_DIVISOR
     }
 
     fn load(overrides: EnvironmentOverrides) -> Result<Configuration, ConfigurationError> {
-        let path = env::var(CONFIG_FILE_VARIABLE).map_err(|_| ConfigurationError::NoFileNamed)?;
+        let path = env::var(CONFIG_FILE_VARIABLE).map_err(|_| ConfigurationError::MissingPath)?;
         let file = read_file(&path)?;
-        let settings = checked_settings(&path, &file.settings)?;
+        let settings = validated_settings(&path, &file.settings)?;
         let seed = parse_seed(&path, &file.seed)?;
         let peer_addresses = file
             .peers
             .iter()
-            .map(|peer| in_file(&path, "peers", peer).parse())
+            .map(|peer| address_in_file(&path, "peers", peer).parse())
             .collect::<Result<Vec<_>, _>>()?;
         let gossip_configured = settings.gossip_enabled && !file.peer_listen.is_empty();
         let gossip_address = gossip_configured
-            .then(|| in_file(&path, "peer_listen", &file.peer_listen).parse())
+            .then(|| address_in_file(&path, "peer_listen", &file.peer_listen).parse())
             .transpose()?;
-        let listen = in_file(&path, "listen", &file.listen).overridden_by(LISTEN_VARIABLE);
+        let listen = address_in_file(&path, "listen", &file.listen).overridden_by(LISTEN_VARIABLE);
         let listen_address = listen.parse()?;
-        let discovery = in_file(&path, "discovery", &file.discovery);
+        let discovery = address_in_file(&path, "discovery", &file.discovery);
         let discovery_address = match overrides {
             EnvironmentOverrides::All => discovery.overridden_by(DISCOVERY_VARIABLE).parse()?,
             EnvironmentOverrides::AllButDiscovery => discovery.parse()?,
         };
         Ok(Configuration {
-            name: override_from(NAME_VARIABLE).unwrap_or(file.name),
+            name: non_empty_variable(NAME_VARIABLE).unwrap_or(file.name),
             listen_address,
             discovery_address,
             seed,
@@ -158,8 +158,8 @@
                 * BYTES_PER_MIB,
             gossip_address,
             peer_addresses,
-            // A cached list that cannot be read is as good as none.
-            known_endpoints: EndpointUpdate::from_json(&file.known).ok(),
+            // A malformed cached list is ignored; discovery will send the list.
+            cached_endpoints: EndpointUpdate::from_json(&file.known).ok(),
             document: file.settings,
             settings,
         })
@@ -177,7 +177,7 @@
     })
 }
 
-fn checked_settings(
+fn validated_settings(
     path: &str,
     document: &SettingsDocument,
 ) -> Result<Settings, ConfigurationError> {
@@ -189,7 +189,7 @@
             source,
         })?;
     if settings.gateway.0 >= settings.gateway_count {
-        return Err(ConfigurationError::GatewayNumber {
+        return Err(ConfigurationError::GatewayIdOutOfRange {
             path: path.to_string(),
             gateway: settings.gateway.0,
             gateway_count: settings.gateway_count,
@@ -198,8 +198,8 @@
     Ok(settings)
 }
 
-/// The seed must be there: a process must not repeat the random numbers of its previous incarnation, nor those of
-/// its peers.
+/// Parses the hexadecimal seed. There is no default seed, because a process must not repeat the random
+/// numbers of its previous run or of its peers.
 fn parse_seed(path: &str, text: &str) -> Result<u64, ConfigurationError> {
     u64::from_str_radix(text.trim(), 16).map_err(|source| ConfigurationError::Seed {
         path: path.to_string(),
@@ -208,19 +208,19 @@
     })
 }
 
-/// The value of a variable that is set and not empty.
-fn override_from(variable: &str) -> Option<String> {
+/// Returns the value of an environment variable; `None` if it is unset, empty or not valid Unicode.
+fn non_empty_variable(variable: &str) -> Option<String> {
     env::var(variable).ok().filter(|value| !value.is_empty())
 }
 
-/// The text of an address, with what an error message says about it.
+/// The text of an address, with its source and key for error messages.
 struct AddressValue {
     origin: ConfigurationSource,
     key: &'static str,
     text: String,
 }
 
-fn in_file(path: &str, key: &'static str, text: &str) -> AddressValue {
+fn address_in_file(path: &str, key: &'static str, text: &str) -> AddressValue {
     AddressValue {
         origin: ConfigurationSource::File(path.to_string()),
         key,
@@ -230,7 +230,7 @@
 
 impl AddressValue {
     fn overridden_by(self, variable: &'static str) -> AddressValue {
-        match override_from(variable) {
+        match non_empty_variable(variable) {
             None => self,
             Some(text) => AddressValue {
                 origin: ConfigurationSource::Variable(variable),
--- a/src/gateway/configuration_error.rs
+++ b/src/gateway/configuration_error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors from reading and validating the configuration.
 
 use crate::SettingsError;
 use std::fmt;
@@ -6,79 +6,79 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// The environment variable that names the configuration file.
+/// Environment variable with the path of the configuration file.
 pub const CONFIG_FILE_VARIABLE: &str = "GW_CONFIG";
 
-/// Why the configuration cannot be used. Each message is one line.
+/// An error from reading or validating the configuration. Each message is a single line.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// The variable that names the file is absent or not Unicode.
+    /// `GW_CONFIG` is unset or not valid Unicode.
     #[error("{CONFIG_FILE_VARIABLE} must be set to the path of the configuration file")]
-    NoFileNamed,
-    /// The file cannot be read.
+    MissingPath,
+    /// The file does not exist or cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The path of the file.
+        /// The path from `GW_CONFIG`.
         path: String,
-        /// The error of the operating system.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The file is not JSON, or a key in it is missing or has the wrong type.
+    /// The file is not valid JSON, or a key is missing or has the wrong type.
     #[error("{path}: {source}")]
     Malformed {
-        /// The path of the file.
+        /// The path from `GW_CONFIG`.
         path: String,
-        /// The error with the key and the position in the file.
+        /// The parse error, with the key and the position in the file.
         source: serde_json::Error,
     },
-    /// The settings hold a value that the decision engine cannot use.
+    /// The settings contain a value that the decision engine rejects.
     #[error("{path}: {source}")]
     Settings {
-        /// The path of the file.
+        /// The path from `GW_CONFIG`.
         path: String,
-        /// What is wrong with the settings.
+        /// The first error that the validation found.
         source: SettingsError,
     },
-    /// The number of this gateway is not below the number of gateways.
+    /// The id of this gateway is not less than the number of gateways.
     #[error(
         "{path}: settings: Me is {gateway}, expected less than the number of gateways, {gateway_count}"
     )]
-    GatewayNumber {
-        /// The path of the file.
+    GatewayIdOutOfRange {
+        /// The path from `GW_CONFIG`.
         path: String,
-        /// The number of this gateway.
+        /// The configured gateway id, which counts from 0.
         gateway: u32,
-        /// The number of gateways of the tier.
+        /// The configured number of gateways in the tier.
         gateway_count: u32,
     },
-    /// The seed is not a hexadecimal number of 64 bits.
+    /// The seed is missing or is not a 64-bit hexadecimal number.
     #[error("{path}: seed: {text:?} is not a hexadecimal number: {source}")]
     Seed {
-        /// The path of the file.
+        /// The path from `GW_CONFIG`.
         path: String,
-        /// The text in its place.
+        /// The configured text; empty if the key is missing.
         text: String,
-        /// What is wrong with the text.
+        /// The parse error.
         source: ParseIntError,
     },
-    /// A value is not an address with a port.
+    /// A value is not an IP address with a port.
     #[error("{origin}: {key}: {text:?} is not an address and port")]
     Address {
-        /// Where the value was found.
+        /// The file or variable that the value was read from.
         origin: ConfigurationSource,
-        /// The key of the configuration that the value is for.
+        /// The configuration key that the value was read for.
         key: &'static str,
-        /// The value.
+        /// The configured text.
         text: String,
     },
 }
 
-/// Where a value of the configuration was found.
+/// The source of a configuration value, as named in error messages.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigurationSource {
-    /// In the file at this path.
+    /// The configuration file at this path.
     File(String),
-    /// In the environment variable of this name.
+    /// The environment variable with this name.
     Variable(&'static str),
 }
 
--- a/src/gateway/engine_time.rs
+++ b/src/gateway/engine_time.rs
@@ -1,52 +1,51 @@
-//! The one place where the gateway's times and those of the decision engine are converted into each other.
+//! All conversions between the gateway's time types and those of the decision engine.
 //!
-//! The gateway measures time with [`Instant`] and [`Duration`]. The engine takes milliseconds of Unix time, because
-//! it compares them with the start times that endpoints state.
+//! The gateway measures time with [`Instant`] and [`Duration`]. The engine uses milliseconds of Unix time,
+//! because it compares its timestamps with the start times that endpoints report.
 
 use crate::{Milliseconds, Timestamp};
 use std::time::{Duration, Instant, SystemTime};
 
-/// The farthest time from the start of the process that a [`Timestamp`] is converted to. The engine may ask for
-/// something at an infinite time, which an [`Instant`] cannot hold.
+/// Upper bound on the instants that timestamps are converted to, counted from the start of the process. The
+/// engine may set a timer for an infinite time, which an [`Instant`] cannot represent.
 const MAX_TIME_AFTER_START: Duration = Duration::from_secs(1_000_000);
 
-/// The engine's clock: Unix time as of the start of the process, advanced by the monotonic clock. It never steps
-/// back.
+/// The engine's clock. It reads Unix time once, when it is created, and then advances with the monotonic
+/// clock, so it never steps back.
 pub(crate) struct EngineClock {
-    started: Instant,
-    started_unix: Timestamp,
+    start: Instant,
+    unix_start: Timestamp,
 }
 
 impl EngineClock {
-    /// A clock that starts now.
     pub fn new() -> EngineClock {
         let unix_time = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         EngineClock {
-            started: Instant::now(),
-            started_unix: Timestamp::ZERO + to_milliseconds(unix_time),
+            start: Instant::now(),
+            unix_start: Timestamp::ZERO + to_milliseconds(unix_time),
         }
     }
 
-    /// The engine's time at an instant. Instants before the start become the start.
+    /// Converts an instant to engine time. An instant before the start of the clock maps to the start.
     pub fn timestamp(&self, instant: Instant) -> Timestamp {
-        self.started_unix + to_milliseconds(instant.saturating_duration_since(self.started))
+        self.unix_start + to_milliseconds(instant.saturating_duration_since(self.start))
     }
 
-    /// The instant of an engine's time. Times before the start become the start.
+    /// Converts engine time to an instant. A time before the start of the clock maps to the start.
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
-        let since_start = to_duration(timestamp - self.started_unix);
-        self.started + since_start.min(MAX_TIME_AFTER_START)
+        let since_start = to_duration(timestamp - self.unix_start);
+        self.start + since_start.min(MAX_TIME_AFTER_START)
     }
 }
 
-/// A duration as the engine takes it.
 pub(crate) fn to_milliseconds(duration: Duration) -> Milliseconds {
     Milliseconds(duration.as_secs_f64() * 1000.0)
 }
 
-/// A duration of the engine or of the settings. A negative one becomes zero, one that is too long the longest.
+/// Converts a duration from the engine or the settings. A negative value becomes zero; a value that is too
+/// large for [`Duration`] becomes [`Duration::MAX`].
 pub(crate) fn to_duration(milliseconds: Milliseconds) -> Duration {
     let seconds = milliseconds.as_f64() / 1000.0;
     Duration::try_from_secs_f64(seconds).unwrap_or(if seconds > 0.0 {
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -32,7 +32,7 @@
     /// The most connections to endpoints.
     pub max_connections: usize,
     /// The most bytes of the commands in flight, and of the responses that are not complete yet.
-    pub memory_per_purpose: usize,
+    pub memory_budget_bytes: usize,
     /// The longest time that opening a connection may take.
     pub connect_timeout: Duration,
     /// How long endpoints let a connection be idle before they close it.
@@ -58,7 +58,7 @@
     ) -> Forwarder {
         let pool_limits = EndpointPoolLimits {
             max_connections: limits.max_connections,
-            read_memory_bytes: limits.memory_per_purpose,
+            read_memory_bytes: limits.memory_budget_bytes,
             connect_timeout: limits.connect_timeout,
             endpoint_idle_timeout: limits.endpoint_idle_timeout,
         };
@@ -66,7 +66,7 @@
             requests: ProxiedRequests::new(
                 &settings.classes,
                 limits.max_requests,
-                limits.memory_per_purpose,
+                limits.memory_budget_bytes,
             ),
             endpoints: EndpointPool::new(&pool_limits, handler),
             malformed_responses: MalformedResponses::default(),
--- a/src/gateway/event_loop/mod.rs
+++ b/src/gateway/event_loop/mod.rs
@@ -92,7 +92,7 @@
         gossip: Option<GossipSocket>,
         max_connections: usize,
     ) -> Result<EventLoopHandle, SettingsError> {
-        let memory_per_purpose = configuration.memory_per_purpose();
+        let memory_budget_bytes = configuration.memory_budget_bytes();
         let Configuration {
             settings,
             document,
@@ -102,7 +102,7 @@
         let limits = ForwarderLimits {
             max_requests: document.limits.max_active_requests,
             max_connections,
-            memory_per_purpose,
+            memory_budget_bytes,
             connect_timeout: to_duration(Milliseconds(document.limits.connect_timeout_ms)),
             endpoint_idle_timeout: to_duration(Milliseconds(
                 document.limits.idle_connection_timeout_ms,
--- a/src/gateway/gossip_socket.rs
+++ b/src/gateway/gossip_socket.rs
@@ -1,4 +1,5 @@
-//! Gossip between the gateways of a fleet: one UDP socket, datagrams of at most 256 bytes.
+//! The UDP socket that exchanges gossip with the other gateways of the fleet, in datagrams of at most 256
+//! bytes.
 
 use crate::GatewayId;
 use std::net::SocketAddr;
@@ -7,19 +8,19 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// The longest datagram that is sent or accepted. The users' rules allow no longer one.
+/// The maximum datagram length, sent or received, as specified in the requirements on the gateway.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Pause after a failed receive. Most errors report an earlier datagram that could not be delivered; one that lasts
-/// must not make the task spin.
-const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(1);
+/// The pause after a failed receive. Most errors report that an earlier datagram could not be delivered. The
+/// pause keeps the task from spinning on a persistent error.
+const RECEIVE_ERROR_DELAY: Duration = Duration::from_millis(1);
 
-/// Receives the gossip of the other gateways.
+/// Processes the gossip that [`GossipSocket::listen`] receives.
 pub trait GossipHandler {
-    /// Handles one datagram. `from` is the gateway whose address it came from.
+    /// Processes the text of one datagram. `from` is the gateway with the source address of the datagram.
     fn handle_gossip(&self, from: GatewayId, text: &str);
 }
 
-/// The socket that connects this gateway with the others. Clones share the socket.
+/// A socket for gossip with the other gateways. Clones share the underlying UDP socket.
 #[derive(Clone)]
 pub struct GossipSocket {
     socket: Rc<UdpSocket>,
@@ -27,7 +28,7 @@
 }
 
 impl GossipSocket {
-    /// Uses this socket to talk to the gateways at these addresses, which are listed in the order of their ids.
+    /// Wraps a bound socket. `addresses` holds the gossip address of each gateway, indexed by gateway id.
     pub fn new(socket: UdpSocket, addresses: Vec<SocketAddr>) -> GossipSocket {
         GossipSocket {
             socket: Rc::new(socket),
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Sends a datagram if the socket takes it now. Gossip may be lost, so nothing waits for it.
+    /// Sends a datagram without waiting. The datagram is dropped if the socket's send buffer is full, the
+    /// gateway is unknown or the text is too long; the gossip protocol tolerates losses.
     pub fn send(&self, to: GatewayId, text: &str) {
         if let Some(address) = self.addresses.get(to.0 as usize)
             && text.len() <= MAX_DATAGRAM_BYTES
@@ -44,14 +46,14 @@
         }
     }
 
-    /// Receives gossip for ever and hands it to `handler`. Datagrams from unknown addresses or from this gateway
-    /// itself, too long ones, and those that are not UTF-8 are dropped.
+    /// Receives datagrams in an endless loop and passes their text to `handler`. Drops datagrams that come
+    /// from an unknown address or from this gateway itself, are too long, or are not valid UTF-8.
     pub async fn listen<H: GossipHandler>(self, handler: Rc<H>, own_id: GatewayId) {
-        // One byte more than allowed shows that a datagram is too long.
+        // The extra byte distinguishes a datagram of the maximum length from one that is too long.
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, address)) = self.socket.recv_from(&mut buffer).await else {
-                sleep(RECEIVE_ERROR_PAUSE).await;
+                sleep(RECEIVE_ERROR_DELAY).await;
                 continue;
             };
             let Some(from) = self.gateway_at(address).filter(|id| *id != own_id) else {
--- a/src/gateway/log.rs
+++ b/src/gateway/log.rs
@@ -1,8 +1,8 @@
-//! The log of the gateway process: one line on standard error for each event.
+//! The event log of the gateway process, one line on standard error per event.
 //!
-//! A line reads `marlshelf-gateway: NAME KEY=VALUE ...: SENTENCE`. The name and the keys are constant, so that an
-//! operator can search and count them; the sentence says what happened and what the gateway does now. Nothing is
-//! logged for single requests, apart from a request that the gateway failed to answer in time.
+//! The line format is `marlshelf-gateway: NAME KEY=VALUE ...: SENTENCE`. Event names and keys are stable, so
+//! operators can search for and count them. The sentence describes the event and how the gateway reacts to
+//! it. Individual requests are not logged, except those that the gateway fails to answer by their deadline.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -10,86 +10,87 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The name of the program, with which each line begins.
 const PROGRAM: &str = "marlshelf-gateway";
 
-/// Something that the log records. Errors are known here only by their texts, so that every module may log.
+/// A loggable event with its fields. Errors are trait objects, so this module depends on no other module of
+/// the gateway and all of them can log.
 pub enum LogEvent<'a> {
-    /// The process cannot start, and ends.
+    /// Startup failed, and the process exits.
     StartupFailed {
-        /// What was wrong.
+        /// The cause, which becomes the sentence of the line.
         error: &'a dyn Error,
     },
-    /// An address is in use, and the gateway waits until it is free.
+    /// A listening address is in use by another process, and the gateway retries until it is free.
     AddressInUse {
-        /// What the address is for.
+        /// What the socket is needed for, as the verb phrase after "cannot".
         purpose: &'a dyn Display,
-        /// The address.
+        /// The address that is in use.
         address: SocketAddr,
-        /// How long the gateway waits at most.
+        /// The time limit on the retries.
         timeout: Duration,
     },
-    /// The gateway accepts clients from now on.
+    /// Startup is complete, and the gateway begins to accept clients.
     Serving {
-        /// The name of the gateway.
+        /// The configured name of the gateway.
         gateway: &'a str,
-        /// The address at which it listens.
+        /// The client listen address, with the actual port.
         address: SocketAddr,
     },
-    /// A signal has asked the gateway to end, and the graceful shutdown begins.
+    /// SIGTERM or SIGINT arrived, and the graceful shutdown begins.
     ShutdownStarted {
-        /// The name of the gateway.
+        /// The configured name of the gateway.
         gateway: &'a str,
     },
-    /// The accept grace period of the graceful shutdown is over.
+    /// The accept grace period of the graceful shutdown has ended, and the listener is about to close.
     ListenerClosing {
-        /// The name of the gateway.
+        /// The configured name of the gateway.
         gateway: &'a str,
     },
-    /// The configuration was read again on SIGHUP.
+    /// SIGHUP arrived, and the configuration was reloaded.
     ConfigurationReloaded {
-        /// The address of discovery from now on.
+        /// The discovery address after the reload, whether or not it has changed.
         discovery: SocketAddr,
     },
-    /// The configuration could not be read on SIGHUP, and the one in use stays.
+    /// SIGHUP arrived, but the configuration file is invalid. The gateway keeps the configuration in use.
     ConfigurationReloadFailed {
-        /// What was wrong.
+        /// The cause.
         error: &'a dyn Error,
     },
-    /// A call to discovery failed, and the gateway calls again.
+    /// A call to discovery failed, and the gateway retries. Logged once per outage.
     DiscoveryFailed {
-        /// The address of discovery.
+        /// The discovery address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The cause of the first failure of the outage.
         error: &'a dyn Error,
     },
-    /// A connection of a client could not be accepted.
+    /// A client connection could not be accepted.
     AcceptFailed {
-        /// The error of the operating system.
+        /// The operating system's error.
         error: &'a io::Error,
     },
-    /// Endpoints sent responses that could not be read since the last line about it.
+    /// Endpoints have sent malformed responses since the previous event of this kind.
     MalformedResponses {
-        /// How many responses there were.
+        /// The number of malformed responses since then.
         count: u32,
-        /// The endpoint that sent the last of them.
+        /// The endpoint that sent the most recent one.
         last_endpoint: &'a str,
-        /// What was wrong with the last of them.
+        /// The parse error of the most recent one.
         last_error: &'a dyn Error,
     },
-    /// The gateway failed to answer a request by the client's deadline.
+    /// The gateway had no answer to a request by the client's deadline.
     RequestOverdue,
 }
 
-/// Writes one line about the event to standard error.
+/// Logs an event: writes its line to standard error.
 pub fn event(event: &LogEvent<'_>) {
-    // Formatted first, so that the line is one write and lines of several processes do not mix.
+    // The line is formatted first and written with a single call, so lines of several processes do not
+    // interleave.
     let line = format!("{event}\n");
     eprint!("{line}");
 }
 
 impl LogEvent<'_> {
-    /// The constant name of the event.
+    /// Returns the stable name of the event, for searching the log.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Writes the fields, each with a space before it.
+    /// Writes the `KEY=VALUE` fields, each with a leading space.
     fn write_fields(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             LogEvent::AddressInUse { address, .. } | LogEvent::DiscoveryFailed { address, .. } => {
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Writes what happened and what the gateway does now. Tests and deployment tools look for the texts
-    /// "serves at ADDRESS" at the end of a line, "stops", and "lets nobody new in".
+    /// Writes the sentence. Tests and deployment tools match the texts "serves at ADDRESS" at the end of a
+    /// line, "stops" and "lets nobody new in", so these must not change.
     fn write_sentence(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             LogEvent::StartupFailed { error } => write!(formatter, "{error}"),
--- a/src/gateway/memory_budget.rs
+++ b/src/gateway/memory_budget.rs
@@ -1,23 +1,23 @@
-//! A limit on the memory that all connections of a kind use together, in addition to the limit of each one.
+//! A shared limit on the buffer memory of many connections, in addition to the limit of each connection.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A limit in bytes that many [`MemoryReservation`]s share.
+/// A limit in bytes on the sum of all [`MemoryReservation`]s made from it. Clones share the limit.
 #[derive(Clone)]
 pub struct MemoryBudget {
     reserved: Rc<Cell<usize>>,
     limit: usize,
 }
 
-/// The part of a [`MemoryBudget`] that one connection uses. Dropping it releases the part.
+/// The share of a [`MemoryBudget`] that one connection holds. Dropping the reservation releases it.
 pub struct MemoryReservation {
     budget: MemoryBudget,
     reserved: Cell<usize>,
 }
 
 impl MemoryBudget {
-    /// Creates a budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes, of which none are reserved.
     #[must_use]
     pub fn new(limit: usize) -> MemoryBudget {
         MemoryBudget {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Creates a reservation of 0 bytes.
+    /// Creates a reservation of 0 bytes, to be resized with [`MemoryReservation::set`].
     #[must_use]
     pub fn reservation(&self) -> MemoryReservation {
         MemoryReservation {
@@ -37,8 +37,9 @@
 }
 
 impl MemoryReservation {
-    /// Changes the reservation to `bytes`, in any case. Returns false when the owner has to release memory: the
-    /// reservations together exceed the budget and this one exceeds `always_allowed`, which every owner may use.
+    /// Sets the reservation to `bytes`, even if that exceeds the budget. Returns `false` if the owner must
+    /// release memory, which is the case when all reservations together exceed the budget and this one
+    /// exceeds `always_allowed` bytes, the amount that every owner may use regardless of the budget.
     pub fn set(&self, bytes: usize, always_allowed: usize) -> bool {
         let total = &self.budget.reserved;
         let previous = self.reserved.replace(bytes);
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway process: startup, serving, graceful shutdown.
+//! Runs a gateway process through startup, serving and graceful shutdown.
 
 use crate::gateway::configuration::Configuration;
 use crate::gateway::log::{self, LogEvent};
@@ -7,17 +7,19 @@
 use crate::gateway::startup::{RunningGateway, bind_sockets};
 use crate::gateway::startup_error::StartupError;
 
-/// Serves as the configuration says until a signal asks the process to end, and then shuts down gracefully.
+/// Reads the configuration, serves clients until SIGTERM or SIGINT arrives, and then shuts down gracefully.
 ///
-/// Cancelling the future ends the gateway without a graceful shutdown.
+/// Dropping the future stops the gateway without a graceful shutdown.
 ///
 /// # Errors
-/// When the configuration cannot be used, an address cannot be bound, or a signal handler cannot be registered.
+/// Fails if the configuration is invalid, an address cannot be bound, or a signal handler cannot be
+/// registered.
 ///
 /// # Panics
-/// When called outside a [`LocalSet`](tokio::task::LocalSet): the tasks of the gateway share state without locks.
+/// Panics outside a [`LocalSet`](tokio::task::LocalSet), which the tasks need because they share state
+/// without locks.
 pub async fn run() -> Result<(), StartupError> {
-    // Before everything else: a signal without a handler ends the process at once.
+    // Comes first because a signal without a handler terminates the process immediately.
     let mut signals = Signals::register()?;
     let configuration = Configuration::read()?;
     let name = configuration.name.clone();
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -1,16 +1,17 @@
-//! Graceful shutdown: every request that the gateway has accepted is answered, and peers can still reach it.
+//! Graceful shutdown: the gateway answers every accepted request and remains reachable for its peers.
 //!
-//! The platform sends SIGTERM and, after the termination grace period, SIGKILL. The phases below run one after
-//! another; all but the wait for clients and answers are bounded, and those end because the event loop answers each
-//! request by the deadline that [`Gateway::shut_down_within`](super::event_loop::EventLoop::shut_down_within) sets.
+//! The platform sends SIGTERM and, after the termination grace period, SIGKILL. The phases below run in
+//! sequence. The phases "drain clients" and "await answers" have no time limit of their own; they end because
+//! the event loop answers each request by the deadline that
+//! [`EventLoop::shut_down_within`](super::event_loop::EventLoop::shut_down_within) sets.
 //!
 //! | phase | ends when |
 //! | --- | --- |
 //! | accept grace period | 0.5 s have passed |
-//! | drain backlog | no connection is left in the kernel's queue, or at the deadline |
-//! | drain clients | every client connection is closed |
-//! | await answers | no client is owed an answer |
-//! | answer peers | the deadline, or a second signal; at once without peers |
+//! | drain backlog | the kernel's accept queue is empty, or the deadline is reached |
+//! | drain clients | all client connections are closed |
+//! | await answers | all requests are answered |
+//! | answer peers | the deadline is reached or a second signal arrives; skipped without peers |
 
 use crate::gateway::clients::{ClientConnections, ClientListener};
 use crate::gateway::event_loop::EventLoopHandle;
@@ -21,14 +22,15 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// New connections arrive for up to 0.4 s after SIGTERM, until every client knows that the gateway ends.
+/// Clients keep opening connections for up to 0.4 s after SIGTERM, until all of them know that the gateway is
+/// shutting down.
 const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// The fraction of the termination grace period after which the gateway has answered its clients, and up to which
-/// it answers its peers. The rest is a margin before SIGKILL.
+/// The deadline of the shutdown as a fraction of the termination grace period. By then the gateway has
+/// answered its clients, and until then it answers its peers. The rest is a margin before SIGKILL.
 const TERMINATION_GRACE_FRACTION: f64 = 0.9;
 const ANSWER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Shuts the gateway down and returns when the process may end.
+/// Shuts the gateway down. The process can exit once the future completes.
 pub(super) async fn shut_down(running: RunningGateway, termination: &mut TerminationSignals) {
     let time_limit = running
         .termination_grace
@@ -39,7 +41,7 @@
     log::event(&LogEvent::ListenerClosing {
         gateway: &running.name,
     });
-    // From here on every connection is closed as soon as nothing is in flight on it.
+    // From now on each client connection closes as soon as it has no requests in flight.
     running.clients.close_soon();
     drain_backlog(&running.client_listener, running.listener, deadline).await;
     drain_clients(&running.clients).await;
@@ -50,34 +52,34 @@
     running.background_tasks.stop().await;
 }
 
-/// Accepts and serves new connections as before, because clients learn only with a delay that the gateway ends.
+/// Continues to accept connections, because clients learn of the shutdown with a delay.
 async fn accept_for_grace_period(running: &RunningGateway) {
     let _ = timeout(ACCEPT_GRACE_PERIOD, running.accept_clients()).await;
 }
 
-/// Serves the connections that the kernel has accepted already, and then closes the listener. Closing it would
-/// reset them, and what their clients have sent counts as accepted.
+/// Serves the connections in the kernel's accept queue, and then closes the listener. Closing it earlier
+/// would reset these connections, although requests already sent on them count as accepted.
 async fn drain_backlog(client_listener: &ClientListener, socket: TcpListener, deadline: Instant) {
     let _ = timeout_at(deadline, client_listener.drain_backlog(socket)).await;
 }
 
-/// Waits until every client connection is closed.
 async fn drain_clients(clients: &ClientConnections) {
     while !clients.is_empty() {
         clients.connection_closed().await;
     }
 }
 
-/// Waits until no client is owed an answer. Attempts whose clients have disconnected are not waited for, and the
-/// kernel delivers the last bytes to clients.
+/// Waits until all requests are answered, except those whose clients have disconnected. There is no need to
+/// wait for delivery: the kernel sends the last bytes to the clients even after the process has exited.
 async fn await_answers(event_loop: &EventLoopHandle) {
     while !event_loop.borrow().all_answered() {
         sleep(ANSWER_POLL_INTERVAL).await;
     }
 }
 
-/// Goes on answering other gateways, which still send quota requests for the token buckets that this gateway owns;
-/// its next incarnation knows nothing about them. A second signal ends the wait.
+/// Keeps answering other gateways until the deadline or a second signal. They still send quota requests for
+/// the token buckets that this gateway owns, and the next process of this gateway starts without the state of
+/// those buckets.
 async fn answer_peers(deadline: Instant, termination: &mut TerminationSignals) {
     tokio::select! {
         () = sleep_until(deadline) => {}
--- a/src/gateway/signals.rs
+++ b/src/gateway/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of the process: SIGTERM and SIGINT ask it to end, SIGHUP to read its configuration again.
+//! Signal handling: SIGTERM and SIGINT shut the gateway down, SIGHUP reloads its configuration.
 
 use crate::gateway::configuration::Configuration;
 use crate::gateway::log::{self, LogEvent};
@@ -7,21 +7,21 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-/// All signals that the gateway handles. A signal that arrives after [`Signals::register`] is kept until it is
+/// Streams of the handled signals. A signal that arrives after [`Signals::register`] is kept until it is
 /// awaited.
 pub(super) struct Signals {
     pub(super) termination: TerminationSignals,
     pub(super) hangup: Signal,
 }
 
-/// The signals that ask the process to end.
+/// SIGTERM and SIGINT, which have the same effect.
 pub(super) struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Registers the handlers. Before that, each of these signals ends the process at once.
+    /// Registers the handlers. Until then, each of these signals terminates the process immediately.
     pub(super) fn register() -> Result<Signals, StartupError> {
         let hangup = register(SignalKind::hangup(), "SIGHUP")?;
         let terminate = register(SignalKind::terminate(), "SIGTERM")?;
@@ -41,7 +41,7 @@
 }
 
 impl TerminationSignals {
-    /// Waits for the next signal that asks the process to end. No signal is lost if the future is dropped.
+    /// Waits for the next SIGTERM or SIGINT. Cancel safe: no signal is lost if the future is dropped.
     pub(super) async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -50,8 +50,8 @@
     }
 }
 
-/// The task that reads the configuration again on each SIGHUP and passes on the address of discovery. Nothing else
-/// of the configuration can be changed while the process runs.
+/// Reloads the configuration on each SIGHUP and publishes the discovery address, the only value that can
+/// change while the process runs.
 pub(super) async fn reload_on_hangup(
     mut hangup: Signal,
     discovery_address: watch::Sender<SocketAddr>,
@@ -61,7 +61,7 @@
             Ok(configuration) => {
                 let discovery = configuration.discovery_address;
                 log::event(&LogEvent::ConfigurationReloaded { discovery });
-                // Also sent if the address is the same: the gateway then fetches the whole list once more.
+                // An unchanged address is sent too, which makes the gateway fetch the complete list again.
                 let _ = discovery_address.send(discovery);
             }
             Err(error) => log::event(&LogEvent::ConfigurationReloadFailed { error: &error }),
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -1,5 +1,5 @@
-//! Startup: binds the addresses, builds the parts of the gateway, starts their tasks, and waits for the first
-//! endpoint list.
+//! Startup: binds the listening addresses, builds the components, starts the background tasks, and waits for
+//! the first endpoint list.
 
 use crate::gateway::background_tasks::BackgroundTasks;
 use crate::gateway::bind::{BindError, SocketPurpose, bind_with_retry};
@@ -19,28 +19,29 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 
-/// How long a gateway without a cached endpoint list waits for discovery before it serves all the same: it must be
-/// ready, also while discovery cannot be reached.
+/// How long a gateway without a cached endpoint list waits for discovery. It then serves without a list,
+/// because it must become ready even while discovery is unreachable.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Separates the random numbers of discovery from those of the decision engine, which has the seed itself.
+/// Derives the seed of the discovery delays from the configured seed, which the decision engine uses
+/// unchanged, so the two use different random streams.
 const DISCOVERY_SEED_MASK: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The percentages of the file descriptors that clients and endpoints may take. The rest is for the listener,
-/// discovery, gossip, and connections that are about to be closed. Clients hold a third at most for requests, and
-/// a client at its own limit cannot open a connection before an idle one of its connections is closed, so the
-/// gateway evicts idle connections from there on.
+/// Shares of the file descriptor limit for client and endpoint connections, in percent. The rest is for the
+/// listener, discovery, gossip, and connections that are being closed. Clients hold at most a third of the
+/// descriptors for requests, and a client at its own connection limit cannot open a connection until one of
+/// its idle connections is closed. The gateway therefore evicts idle client connections above this share.
 const CLIENT_DESCRIPTOR_PERCENT: usize = 33;
 const ENDPOINT_DESCRIPTOR_PERCENT: usize = 45;
 
-/// The sockets that the gateway listens on.
+/// The listening sockets, bound before the rest of the gateway is built.
 pub(super) struct BoundSockets {
     gossip: Option<UdpSocket>,
     listener: TcpListener,
-    /// The address of the listener, with the port that the operating system chose where the configuration
-    /// leaves it open.
+    /// The address of the listener with its actual port, which the operating system chooses if the configured
+    /// port is 0.
     listen_address: SocketAddr,
 }
 
-/// Binds the addresses of the configuration, and waits for those that are in use.
+/// Binds the configured addresses, retrying while one is in use.
 pub(super) async fn bind_sockets(configuration: &Configuration) -> Result<BoundSockets, BindError> {
     let gossip = match configuration.gossip_address {
         Some(address) => {
@@ -48,8 +49,8 @@
         }
         None => None,
     };
-    // The listener is last: a client that connected could not be answered while the gateway waits for the other
-    // address.
+    // The client listener is bound last: a client that connects while the gateway still waits for the gossip
+    // address would get no answer.
     let address = configuration.listen_address;
     let listener = bind_with_retry(SocketPurpose::Clients, address, TcpListener::bind).await?;
     let listen_address = listener.local_addr().unwrap_or(address);
@@ -60,32 +61,32 @@
     })
 }
 
-/// A gateway whose background tasks run.
+/// A gateway after startup, with its background tasks running.
 pub(super) struct RunningGateway {
     pub(super) name: String,
     pub(super) listen_address: SocketAddr,
     pub(super) listener: TcpListener,
-    /// How long the platform waits between SIGTERM and SIGKILL.
+    /// The time that the platform allows between SIGTERM and SIGKILL.
     pub(super) termination_grace: Duration,
     pub(super) event_loop: EventLoopHandle,
     pub(super) clients: Rc<ClientConnections>,
     pub(super) client_listener: ClientListener,
-    /// Whether the gateway answers other gateways.
+    /// Whether gossip is enabled, so that other gateways may send quota requests.
     pub(super) has_peers: bool,
     pub(super) background_tasks: BackgroundTasks,
-    /// Notified of the first list of discovery; absent if a cached list makes it unnecessary to wait for it.
+    /// Notified when discovery delivers its first list; `None` if a cached list makes waiting unnecessary.
     first_list: Option<Rc<Notify>>,
 }
 
 impl RunningGateway {
-    /// Builds the parts of the gateway and starts the background tasks.
+    /// Builds the components of the gateway and starts the background tasks.
     pub(super) fn start(
         configuration: Configuration,
         sockets: BoundSockets,
         hangup: Signal,
     ) -> Result<RunningGateway, StartupError> {
         let parts = GatewayParts::build(configuration, sockets.gossip)?;
-        let awaits_first_list = parts.cached_revision.is_none();
+        let needs_first_list = parts.cached_revision.is_none();
         let running = RunningGateway {
             name: parts.name.clone(),
             listen_address: sockets.listen_address,
@@ -99,27 +100,27 @@
                 parts.request_schema.clone(),
             ),
             has_peers: parts.gossip.is_some(),
-            first_list: awaits_first_list.then(|| parts.first_list.clone()),
+            first_list: needs_first_list.then(|| parts.first_list.clone()),
             background_tasks: parts.start_tasks(hangup),
         };
         Ok(running)
     }
 
-    /// Waits until there is an endpoint list, so that no client is accepted before the gateway has an endpoint to
-    /// forward to, but not longer than [`FIRST_LIST_TIMEOUT`].
+    /// Waits up to [`FIRST_LIST_TIMEOUT`] for an endpoint list, so that the gateway can forward requests by
+    /// the time it accepts clients.
     pub(super) async fn wait_for_first_list(&self) {
         if let Some(first_list) = &self.first_list {
             let _ = timeout(FIRST_LIST_TIMEOUT, first_list.notified()).await;
         }
     }
 
-    /// Accepts clients until the future is dropped.
+    /// Accepts client connections in an endless loop.
     pub(super) async fn accept_clients(&self) {
         self.client_listener.accept(&self.listener).await;
     }
 }
 
-/// The parts of a gateway before their tasks start.
+/// The components of a gateway before its background tasks start.
 struct GatewayParts {
     name: String,
     gateway_id: GatewayId,
@@ -130,7 +131,7 @@
     request_schema: RequestSchema,
     gossip: Option<GossipSocket>,
     poll_schedule: PollSchedule,
-    /// The revision of the cached endpoint list, if there is one to build on.
+    /// The revision from which discovery continues; `None` if there is no usable cached list.
     cached_revision: Option<u64>,
     first_list: Rc<Notify>,
 }
@@ -146,16 +147,16 @@
         let discovery_address = configuration.discovery_address;
         let peer_addresses = std::mem::take(&mut configuration.peer_addresses);
         let gossip = gossip_socket.map(|socket| GossipSocket::new(socket, peer_addresses));
-        let cached_list = configuration.known_endpoints.take();
+        let cached_list = configuration.cached_endpoints.take();
         let max_clients = configuration.max_descriptors * CLIENT_DESCRIPTOR_PERCENT / 100;
-        let clients = ClientConnections::new(max_clients, configuration.memory_per_purpose());
+        let clients = ClientConnections::new(max_clients, configuration.memory_budget_bytes());
         let request_schema = RequestSchema::new(&configuration.document);
         let discovery_seed = configuration.seed ^ DISCOVERY_SEED_MASK;
         let poll_schedule = PollSchedule::new(&configuration.document, discovery_seed);
         let max_endpoint_connections =
             configuration.max_descriptors * ENDPOINT_DESCRIPTOR_PERCENT / 100;
         let event_loop = EventLoop::new(configuration, gossip.clone(), max_endpoint_connections)?;
-        let cached_revision = cached_list.as_ref().and_then(revision_to_build_on);
+        let cached_revision = cached_list.as_ref().and_then(resumable_revision);
         if let Some(list) = cached_list {
             event_loop.borrow_mut().endpoints_changed(&list);
         }
@@ -174,7 +175,7 @@
         })
     }
 
-    /// Starts the background tasks in the order in which they run first.
+    /// Starts the background tasks. They are first polled in this order and stopped in the reverse order.
     fn start_tasks(self, hangup: Signal) -> BackgroundTasks {
         let mut tasks = BackgroundTasks::default();
         if let Some(gossip) = self.gossip {
@@ -201,7 +202,8 @@
     }
 }
 
-/// The revision of a cached list; `None` if it holds no endpoints, because then it is none to build on.
-fn revision_to_build_on(list: &EndpointUpdate) -> Option<u64> {
+/// Returns the revision from which a watch can continue; `None` if the cached list is empty, because
+/// discovery must then send the complete list.
+fn resumable_revision(list: &EndpointUpdate) -> Option<u64> {
     (!list.endpoints.is_empty()).then_some(list.revision)
 }
--- a/src/gateway/startup_error.rs
+++ b/src/gateway/startup_error.rs
@@ -1,4 +1,4 @@
-//! Why a gateway cannot start.
+//! Errors that prevent a gateway from starting.
 
 use crate::SettingsError;
 use crate::gateway::bind::BindError;
@@ -6,27 +6,27 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the gateway cannot start. The process ends after each of these.
+/// A fatal error during startup. The process logs it and exits with code 1.
 #[derive(Debug, Error)]
 pub enum StartupError {
-    /// The asynchronous runtime could not be created.
+    /// Building the Tokio runtime failed.
     #[error("cannot create the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal handler could not be registered.
+    /// Registering a signal handler failed.
     #[error("cannot register a handler for {name}: {source}")]
     Signal {
-        /// The name of the signal.
+        /// The name of the signal, such as `SIGHUP`.
         name: &'static str,
-        /// The error of the operating system.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The configuration cannot be used.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// An address cannot be bound.
+    /// A listening address could not be bound.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// The decision engine cannot use the settings.
+    /// The decision engine rejected the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -37,7 +37,7 @@
         max_memory_bytes: 32 << 20,
         gossip_address: None,
         peer_addresses: Vec::new(),
-        known_endpoints: None,
+        cached_endpoints: None,
         settings: document.settings(),
         document,
     }
