--- a/tests/gateway/bind.rs
+++ b/tests/gateway/bind.rs
@@ -1,4 +1,4 @@
-//! Binding an address that is in use, in virtual time.
+//! Tests of `bind_with_retry` in virtual time.
 
 use crate::support::ANY_PORT;
 use marlshelf::gateway::bind::{BIND_TIMEOUT, SocketPurpose, bind_with_retry};
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// Runs a test in virtual time, which moves on at once when every task waits.
+/// Runs a test on a paused clock, which advances automatically while all tasks are waiting.
 fn run_in_virtual_time(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery client: endpoint lists, frames of a watch, and calls that fail.
+//! Tests of the discovery client: parsing of endpoint lists and watch frames, and recovery from failed calls.
 
 use crate::support::{ANY_PORT, TEST_TIMEOUT, run_local, test_configuration};
 use marlshelf::EndpointState;
@@ -24,34 +24,34 @@
 
 const EMPTY_LIST: &str = r#"{"rev":1,"all":true,"targets":[]}"#;
 
-/// What a watch has brought.
+/// Totals of the frames decoded from a watch.
 #[derive(Debug, Default, PartialEq)]
-struct Received {
+struct FrameTotals {
     endpoints: usize,
     keep_alives: usize,
 }
 
-fn received(endpoints: usize, keep_alives: usize) -> Received {
-    Received {
+fn frame_totals(endpoints: usize, keep_alives: usize) -> FrameTotals {
+    FrameTotals {
         endpoints,
         keep_alives,
     }
 }
 
-/// Decodes the pieces, each split at line ends as the client splits them.
-fn decode(pieces: &[&str]) -> Result<Received, FrameError> {
+/// Splits the pieces after each line feed, as the client does, and decodes them.
+fn decode(pieces: &[&str]) -> Result<FrameTotals, FrameError> {
     let mut decoder = FrameDecoder::default();
-    let mut received = Received::default();
+    let mut totals = FrameTotals::default();
     for piece in pieces {
         for line_piece in piece.as_bytes().split_inclusive(|byte| *byte == b'\n') {
             match decoder.decode(line_piece)? {
-                Some(Frame::Update(update)) => received.endpoints += update.endpoints.len(),
-                Some(Frame::KeepAlive) => received.keep_alives += 1,
+                Some(Frame::Update(update)) => totals.endpoints += update.endpoints.len(),
+                Some(Frame::KeepAlive) => totals.keep_alives += 1,
                 None => {}
             }
         }
     }
-    Ok(received)
+    Ok(totals)
 }
 
 const INDENTED_LIST: &str = r#"{
@@ -65,21 +65,21 @@
 "#;
 
 #[test]
-fn frames_may_be_indented_and_cut_at_any_place() {
+fn frames_may_be_indented_and_split_at_any_position() {
     let on_one_line = INDENTED_LIST.replace(['\n', ' '], "") + "\n";
     let decoded = decode(&[&on_one_line, "\n", &on_one_line]).expect("frames");
-    assert_eq!(decoded, received(2, 1));
+    assert_eq!(decoded, frame_totals(2, 1));
     let decoded = decode(&["\n", INDENTED_LIST, "\r\n", INDENTED_LIST, "\n"]).expect("frames");
-    assert_eq!(decoded, received(2, 3));
+    assert_eq!(decoded, frame_totals(2, 3));
     for cut in 1..INDENTED_LIST.len() {
         let (head, tail) = INDENTED_LIST.split_at(cut);
         let decoded = decode(&[head, tail, &on_one_line, "\n"]).expect("frames");
-        assert_eq!(decoded, received(2, 1), "cut at {cut}");
+        assert_eq!(decoded, frame_totals(2, 1), "cut at {cut}");
     }
 }
 
 #[test]
-fn a_list_cut_short_is_an_error() {
+fn a_truncated_list_is_an_error() {
     for cut in 1..INDENTED_LIST.trim_end().len() {
         let head = INDENTED_LIST.split_at(cut).0;
         assert!(
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_frame_without_an_end_is_an_error_before_it_fills_the_memory() {
+fn an_endless_frame_is_an_error_before_it_exhausts_the_memory() {
     let mut decoder = FrameDecoder::default();
     let piece = vec![b' '; 1 << 20];
     let mut accepted = 0;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_malformed_entry_is_left_out_and_the_others_count() {
+fn a_malformed_entry_is_skipped_and_the_others_are_kept() {
     let document = json!({"rev": 7, "targets": [
         {"uid": "a", "endpoint": "127.0.0.1:1", "pod_group": 2, "state": "ready", "capacity_hint": 3.0},
         {"uid": "", "endpoint": "127.0.0.1:1", "pod_group": 0, "state": "ready"},
@@ -137,15 +137,15 @@
     assert_eq!(names, ["a", "b"]);
     assert_eq!(update.endpoints[0].cell, 2);
     assert_eq!(update.endpoints[0].weight, 3.0);
-    // A removal counts whatever else the entry lacks.
+    // A removal takes effect even if the entry lacks all other fields.
     assert_eq!(update.endpoints[1].state, EndpointState::Removed);
 }
 
-/// A gateway that follows discovery, and has received the first line of its first watch.
+/// The service side of a discovery connection whose client has been sent the first line of its first watch.
 struct FollowedDiscovery {
     listener: TcpListener,
     watch: TcpStream,
-    /// Dropping it ends the client.
+    /// Keeps the client running, which stops when the sender is dropped.
     _address: watch::Sender<SocketAddr>,
 }
 
@@ -195,7 +195,8 @@
         for _ in 0..3 {
             hanging_calls.push(followed.listener.accept().await.expect("a call"));
         }
-        // A change that the watch misses counts as known after 6 s, and a drain must be respected 0.5 s later.
+        // The gateway must know of a change within 6 s, even if the watch misses it, and must respect a drain
+        // 0.5 s after that.
         let elapsed = last_received_at.elapsed();
         assert!(
             elapsed < Duration::from_millis(6500),
@@ -231,7 +232,7 @@
     });
 }
 
-/// A connection that reports a reset where the other end closes it.
+/// A connection that reports a reset when the peer closes it.
 struct ResetAtEnd(DuplexStream);
 
 impl AsyncRead for ResetAtEnd {
@@ -269,7 +270,7 @@
     }
 }
 
-/// Answers each call with a head that gives no length and with this body, and then resets the connection.
+/// Answers each call with a response that has no length header and this body, and then resets the connection.
 struct ResetAfterBody(&'static str);
 
 impl Connect for ResetAfterBody {
@@ -289,7 +290,7 @@
 }
 
 #[test]
-fn a_reset_does_not_end_a_response_without_a_length() {
+fn a_reset_does_not_complete_a_response_without_a_length() {
     run_local(async {
         tokio::time::pause();
         let address: SocketAddr = "127.0.0.1:1".parse().expect("an address");
@@ -298,7 +299,7 @@
         let on_update = move |update| sink.borrow_mut().push(update);
         let (_address_sender, address_receiver) = watch::channel(address);
         let schedule = PollSchedule::new(&test_configuration(address).document, 7);
-        // The body looks complete, but more of it may have been lost with the reset.
+        // The body looks complete, but the reset may have cut off further bytes.
         let connector = ResetAfterBody(EMPTY_LIST);
         spawn_local(discovery::follow(
             connector,
--- a/tests/gateway/discovery_schedule.rs
+++ b/tests/gateway/discovery_schedule.rs
@@ -1,14 +1,15 @@
-//! The delays between calls to discovery.
+//! Tests of the delays between calls to discovery.
 
 use marlshelf::SettingsDocument;
 use marlshelf::gateway::discovery::PollSchedule;
 use std::time::Duration;
 
-/// The longest first delay after a failure of a gateway that is the only caller, and the longest of all.
-const LONGEST_FIRST_DELAY: Duration = Duration::from_millis(150);
-const LONGEST_DELAY: Duration = Duration::from_millis(1500);
+/// Upper bounds on the delay after the first failure and on every delay, for a gateway that is the only
+/// caller.
+const MAX_FIRST_DELAY: Duration = Duration::from_millis(150);
+const MAX_DELAY: Duration = Duration::from_millis(1500);
 
-/// The settings of one of so many gateways with this discovery mode.
+/// Returns the settings of a gateway in a fleet of `gateways` with this discovery mode.
 fn settings(gateways: u32, discovery_mode: &str) -> SettingsDocument {
     let document = serde_json::json!({
         "Balancers": gateways, "Discovery": discovery_mode, "Classes": [],
@@ -17,19 +18,20 @@
     serde_json::from_value(document).expect("valid settings")
 }
 
-/// A service that answers one call at a time and rejects a call that would wait too long.
+/// A model of a discovery service that processes one call at a time and rejects calls that would wait too
+/// long.
 #[derive(Clone, Copy)]
 struct Service {
-    /// How long the service takes to answer a call. A rejection takes a third of it.
-    cost: Duration,
-    /// How long a call may wait for its turn.
+    /// The time to answer a call. A rejection takes a third of it.
+    time_per_call: Duration,
+    /// The maximum time that a call may wait in the queue.
     max_wait: Duration,
 }
 
 impl Service {
-    /// Simulates a fleet whose gateways all start at the same time and call until they are answered. Returns when
-    /// the last of them was answered, or none if a gateway still calls after a minute.
-    fn last_answer_to_fleet_of(self, gateways: u32) -> Option<Duration> {
+    /// Simulates a fleet whose gateways all start at the same time and call until they are answered. Returns
+    /// the time of the last answer, or `None` if a gateway is still calling after a minute.
+    fn time_of_last_answer(self, gateways: u32) -> Option<Duration> {
         let mut schedules: Vec<PollSchedule> = (0..gateways)
             .map(|k| PollSchedule::new(&settings(gateways, "subscribe"), u64::from(k) + 1))
             .collect();
@@ -45,10 +47,10 @@
                 return None;
             }
             if busy_until <= now + self.max_wait {
-                busy_until = busy_until.max(now) + self.cost;
+                busy_until = busy_until.max(now) + self.time_per_call;
                 last_answer = last_answer.max(busy_until);
             } else {
-                busy_until = busy_until.max(now) + self.cost / 3;
+                busy_until = busy_until.max(now) + self.time_per_call / 3;
                 let delay = schedules[gateway].next_delay(Duration::ZERO);
                 next_calls.push((now + delay, gateway));
             }
@@ -58,43 +60,46 @@
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_is_answered_by_a_slow_service() {
+fn a_fleet_that_starts_simultaneously_is_answered_by_a_slow_service() {
     let service = Service {
-        cost: Duration::from_millis(50),
+        time_per_call: Duration::from_millis(50),
         max_wait: Duration::from_secs(2),
     };
     let last = service
-        .last_answer_to_fleet_of(100)
+        .time_of_last_answer(100)
         .expect("all gateways are answered");
     assert!(
         last < Duration::from_secs(12),
         "the last one after {last:?}"
     );
     let single = service
-        .last_answer_to_fleet_of(1)
+        .time_of_last_answer(1)
         .expect("the gateway is answered");
-    assert_eq!(single, service.cost, "a single gateway calls without delay");
+    assert_eq!(
+        single, service.time_per_call,
+        "a single gateway calls without delay"
+    );
 }
 
 #[test]
-fn delays_grow_to_a_bound_and_start_anew_after_an_answer() {
+fn delays_grow_to_a_bound_and_are_reset_after_an_answer() {
     let mut schedule = PollSchedule::new(&settings(4, "subscribe"), 7);
     let delays: Vec<Duration> = (0..8)
         .map(|_| schedule.next_delay(Duration::ZERO))
         .collect();
-    assert!(delays[0] <= LONGEST_FIRST_DELAY);
-    assert!(delays[7] > LONGEST_FIRST_DELAY && delays[7] <= LONGEST_DELAY);
+    assert!(delays[0] <= MAX_FIRST_DELAY);
+    assert!(delays[7] > MAX_FIRST_DELAY && delays[7] <= MAX_DELAY);
     schedule.reset();
-    assert!(schedule.next_delay(Duration::ZERO) <= LONGEST_FIRST_DELAY);
+    assert!(schedule.next_delay(Duration::ZERO) <= MAX_FIRST_DELAY);
 }
 
 #[test]
-fn an_agent_is_called_at_once_and_again_within_the_drain_grace_whatever_the_fleet_size() {
+fn an_agent_is_called_immediately_and_again_within_the_drain_grace_for_any_fleet_size() {
     let mut schedule = PollSchedule::new(&settings(300, "automatic"), 7);
     assert_eq!(
         schedule.initial_delay(),
         Duration::ZERO,
-        "what the agent has counts as known"
+        "the gateway is deemed to know what the agent knows"
     );
     let longest = (0..100).map(|_| schedule.next_delay(Duration::ZERO)).max();
     assert!(
--- a/tests/gateway/gossip_socket.rs
+++ b/tests/gateway/gossip_socket.rs
@@ -1,4 +1,4 @@
-//! Which datagrams the gossip socket passes on.
+//! Tests of which datagrams the gossip socket sends and receives.
 
 use crate::support::*;
 use marlshelf::GatewayId;
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Records what is received.
+/// Forwards received gossip to a channel.
 struct Recorder(mpsc::UnboundedSender<(GatewayId, String)>);
 
 impl GossipHandler for Recorder {
@@ -18,7 +18,8 @@
     }
 }
 
-/// A socket that takes datagrams at once: `GossipSocket::send` drops them while the runtime does not know that.
+/// Binds a socket that the runtime knows to be writable. Until then, `GossipSocket::send` drops every
+/// datagram.
 async fn bind_any() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind(ANY_PORT).await.expect("a port");
     socket.writable().await.expect("writable");
@@ -73,14 +74,14 @@
         let (peer, peer_address) = bind_any().await;
         let gossip = GossipSocket::new(own, vec![own_address, peer_address]);
         gossip.send(GatewayId(1), &"x".repeat(MAX_DATAGRAM_BYTES + 1));
-        gossip.send(GatewayId(2), "to nobody");
-        gossip.send(GatewayId(1), "first that is sent");
+        gossip.send(GatewayId(2), "to an unknown gateway");
+        gossip.send(GatewayId(1), "the only datagram sent");
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, from) = timeout(TEST_TIMEOUT, peer.recv_from(&mut buffer))
             .await
             .expect("in time")
             .expect("received");
-        assert_eq!(&buffer[..length], b"first that is sent");
+        assert_eq!(&buffer[..length], b"the only datagram sent");
         assert_eq!(from, own_address);
     });
 }
--- a/tests/gateway/log.rs
+++ b/tests/gateway/log.rs
@@ -1,4 +1,4 @@
-//! The lines of the log.
+//! Tests of the format and texts of log lines.
 
 use marlshelf::gateway::bind::SocketPurpose;
 use marlshelf::gateway::discovery::DiscoveryError;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_shutdown_lines_have_the_texts_that_deployment_tools_look_for() {
+fn the_shutdown_lines_have_the_texts_that_deployment_tools_match() {
     let started = LogEvent::ShutdownStarted { gateway: "gw-0" }.to_string();
     assert_eq!(
         started,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_failure_names_what_was_wrong_where_and_what_happens_now() {
+fn a_failure_line_names_the_operation_the_cause_and_the_reaction() {
     let event = LogEvent::DiscoveryFailed {
         address: address(),
         error: &DiscoveryError::WatchEnded,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_event_without_fields_has_its_sentence_right_after_its_name() {
+fn a_line_without_fields_has_its_sentence_directly_after_the_event_name() {
     assert_eq!(
         LogEvent::RequestOverdue.to_string(),
         "marlshelf-gateway: request_overdue: a request was not answered by its deadline and fails"
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn malformed_responses_are_counted_in_one_line_with_the_last_of_them() {
+fn malformed_responses_are_reported_as_a_count_with_the_last_error() {
     let error = std::io::Error::other("unexpected byte");
     let event = LogEvent::MalformedResponses {
         count: 3,
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway inside the test's process: its parts, and races between events that have to be forced.
+//! Tests that run the gateway's components inside the test process, where races between events can be forced.
 
 mod bind;
 mod budget;
--- a/tests/gateway/notification_deadline.rs
+++ b/tests/gateway/notification_deadline.rs
@@ -1,9 +1,9 @@
-//! Fleets that follow one discovery service, in virtual time: whatever has failed, every gateway is notified of
-//! a change within 6 s of the time at which discovery could be reached again.
+//! Tests that every gateway of a fleet is notified of a change within 6 s of the time at which discovery is
+//! reachable again, whichever fault caused the outage.
 //!
-//! This is no fleet of `marlshelf_simulation`, which runs decision engines on an event queue of its own. What is under
-//! test here is the asynchronous code that follows discovery over byte streams, so tokio's paused clock is the event
-//! queue, and each fault is a state of a connection or of an HTTP response.
+//! These tests do not use `marlshelf_simulation`, which runs decision engines on its own event queue. They
+//! test the asynchronous discovery client over byte streams, so they run in virtual time on tokio's paused
+//! clock. Each fault is a state of a connection or of an HTTP response.
 
 use crate::stand_in_discovery::{FAULTS, Fault, LATE_HEAD, Network, Service};
 use crate::support::TEST_TIMEOUT;
@@ -19,42 +19,43 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-/// A change counts as known this long after discovery had it and could be reached.
+/// The time after which a gateway must know of a change, once discovery has the change and is reachable.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 const OLD_ADDRESS: &str = "127.0.0.1:1";
 const NEW_ADDRESS: &str = "127.0.0.1:2";
 
-/// The modes in which the settings can have lists delivered: by polling a shared service, or by an agent.
+/// The discovery modes of the settings: polling a shared service, and a local agent.
 const DISCOVERY_MODES: [&str; 2] = ["subscribe", "automatic"];
 
 fn address(text: &str) -> SocketAddr {
     text.parse().expect("an address")
 }
 
-/// The settings of one of so many gateways with this discovery mode.
+/// Returns the settings of a gateway in a fleet of `gateways` with this discovery mode.
 fn settings(gateways: u32, discovery_mode: &str) -> SettingsDocument {
     let document =
         serde_json::json!({"Balancers": gateways, "Discovery": discovery_mode, "Classes": []});
     serde_json::from_value(document).expect("valid settings")
 }
 
-/// The last update that a gateway received.
+/// An update that a gateway has received.
 #[derive(Clone, Copy)]
 struct Notification {
     revision: u64,
     received_at: Instant,
 }
 
-/// Gateways that follow discovery.
+/// A fleet of discovery clients, one per gateway.
 struct Fleet {
     discovery_addresses: Vec<watch::Sender<SocketAddr>>,
-    /// The last notification of each gateway.
+    /// The latest notification of each gateway.
     notifications: Rc<RefCell<Vec<Notification>>>,
 }
 
 impl Fleet {
-    /// Starts all gateways at the same time, with a cached list of this revision or none.
+    /// Starts all gateways at the same time. If `cached_revision` is given, they have a cached list of that
+    /// revision.
     fn start(
         services: &[(SocketAddr, Rc<Service>)],
         settings: &SettingsDocument,
@@ -101,7 +102,8 @@
             .count()
     }
 
-    /// Waits until all gateways have this revision, and returns how long after `since` the last of them got it.
+    /// Waits until all gateways have this revision, and returns the time from `since` until the last one
+    /// received it.
     async fn time_until_all_have(&self, revision: u64, since: Instant) -> Duration {
         let all_notified = async {
             while self.gateways_without(revision) > 0 {
@@ -110,7 +112,12 @@
         };
         timeout(2 * TEST_TIMEOUT, all_notified)
             .await
-            .unwrap_or_else(|_| panic!("{} are not notified", self.gateways_without(revision)));
+            .unwrap_or_else(|_| {
+                panic!(
+                    "{} gateways have not been notified",
+                    self.gateways_without(revision)
+                )
+            });
         let notifications = self.notifications.borrow();
         notifications
             .iter()
@@ -126,24 +133,24 @@
     }
 }
 
-/// What else happens while discovery cannot be reached.
+/// The state of the fleet when the outage begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Circumstance {
-    /// Discovery failed while all gateways had watches open.
+enum Scenario {
+    /// Discovery fails while all gateways have open watches.
     WatchesOpen,
-    /// All gateways start, with an old list cached.
+    /// All gateways start with an outdated cached list.
     StartWithCachedList,
-    /// All gateways start without a list.
+    /// All gateways start without a cached list.
     StartWithoutList,
-    /// SIGHUP moves all gateways to another discovery service, which cannot be reached either.
+    /// A reload moves all gateways to another discovery service, which is unreachable.
     DiscoveryMoved,
 }
 
-const CIRCUMSTANCES: [Circumstance; 4] = [
-    Circumstance::WatchesOpen,
-    Circumstance::StartWithCachedList,
-    Circumstance::StartWithoutList,
-    Circumstance::DiscoveryMoved,
+const SCENARIOS: [Scenario; 4] = [
+    Scenario::WatchesOpen,
+    Scenario::StartWithCachedList,
+    Scenario::StartWithoutList,
+    Scenario::DiscoveryMoved,
 ];
 
 /// An outage of discovery.
@@ -152,7 +159,7 @@
     gateways: u32,
     discovery_mode: &'static str,
     fault: Fault,
-    circumstance: Circumstance,
+    scenario: Scenario,
     duration: Duration,
     seed: u64,
 }
@@ -162,15 +169,15 @@
     gateways: 300,
     discovery_mode: "subscribe",
     fault: Fault::SilentAtHead,
-    circumstance: Circumstance::WatchesOpen,
+    scenario: Scenario::WatchesOpen,
     duration: Duration::from_secs(12),
     seed: 7,
 };
 
 impl Outage {
-    /// How long a call takes the service that all gateways share: it can answer 300 calls in 3 s, and larger
-    /// fleets in the same time. An agent has the list at hand.
-    fn cost_of_call(&self) -> Duration {
+    /// Returns the time that discovery takes to answer a call. A shared service answers 300 calls in 3 s, and
+    /// all calls of a larger fleet in the same time. An agent answers from memory.
+    fn time_per_call(&self) -> Duration {
         if self.discovery_mode == "automatic" {
             Duration::ZERO
         } else {
@@ -178,39 +185,40 @@
         }
     }
 
-    /// Starts the fleet and makes discovery fail, in the order that the circumstance demands.
+    /// Starts the fleet and makes discovery fail, in the order that the scenario requires.
     async fn begin(self, services: &[(SocketAddr, Rc<Service>)], failing: &Service) -> Fleet {
         let settings = settings(self.gateways, self.discovery_mode);
-        match self.circumstance {
-            Circumstance::WatchesOpen | Circumstance::DiscoveryMoved => {
+        match self.scenario {
+            Scenario::WatchesOpen | Scenario::DiscoveryMoved => {
                 let fleet = Fleet::start(services, &settings, self.seed, None);
                 fleet.time_until_all_have(1, Instant::now()).await;
-                // A random time, so that the outage may begin anywhere between two keep-alives.
+                // The random time lets the outage begin at any point between two keep-alives.
                 let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
                 sleep(Duration::from_millis(rng.random_range(5000..9000))).await;
                 failing.fail(self.fault);
                 fleet
             }
-            Circumstance::StartWithCachedList => {
+            Scenario::StartWithCachedList => {
                 failing.fail(self.fault);
                 Fleet::start(services, &settings, self.seed, Some(1))
             }
-            Circumstance::StartWithoutList => {
+            Scenario::StartWithoutList => {
                 failing.fail(self.fault);
                 Fleet::start(services, &settings, self.seed, None)
             }
         }
     }
 
-    /// Simulates the outage, and returns how long after its end the last gateway was notified of a change.
+    /// Simulates the outage, and returns the time from its end until the last gateway is notified of a
+    /// change.
     async fn time_until_all_are_notified(self) -> Duration {
-        let old_service = Service::new(self.seed, self.cost_of_call());
-        let new_service = Service::new(self.seed + 1, self.cost_of_call());
+        let old_service = Service::new(self.seed, self.time_per_call());
+        let new_service = Service::new(self.seed + 1, self.time_per_call());
         let services = [
             (address(OLD_ADDRESS), old_service.clone()),
             (address(NEW_ADDRESS), new_service.clone()),
         ];
-        let discovery_moves = self.circumstance == Circumstance::DiscoveryMoved;
+        let discovery_moves = self.scenario == Scenario::DiscoveryMoved;
         let failing = if discovery_moves {
             new_service
         } else {
@@ -225,7 +233,7 @@
         fleet.time_until_all_have(2, Instant::now()).await
     }
 
-    /// Simulates the outage on a clock of its own, and checks that every gateway is notified in time.
+    /// Simulates the outage in virtual time, and asserts that all gateways are notified by the deadline.
     fn assert_all_notified_in_time(self) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
@@ -233,7 +241,7 @@
             .build()
             .expect("a runtime");
         let last = LocalSet::new().block_on(&runtime, self.time_until_all_are_notified());
-        // For a watch that has fallen silent the deadline counts from that time.
+        // For a watch that falls silent after a late head, the deadline counts from that head.
         let silent_since = if self.fault == Fault::LateWatch {
             LATE_HEAD
         } else {
@@ -260,14 +268,14 @@
 #[test]
 fn every_fleet_is_notified_in_time_after_every_fault() {
     for fault in FAULTS.into_iter().chain([Fault::Mixed]) {
-        for circumstance in CIRCUMSTANCES {
+        for scenario in SCENARIOS {
             for discovery_mode in DISCOVERY_MODES {
                 for gateways in [1, 30, 300] {
                     let outage = Outage {
                         gateways,
                         discovery_mode,
                         fault,
-                        circumstance,
+                        scenario,
                         ..HANGING_SERVICE
                     };
                     outage.assert_all_notified_in_time();
@@ -280,11 +288,11 @@
 #[test]
 fn a_fleet_of_2900_is_notified_in_time() {
     for fault in [Fault::Refused, Fault::SilentAtHead, Fault::Mixed] {
-        for circumstance in CIRCUMSTANCES {
+        for scenario in SCENARIOS {
             let outage = Outage {
                 gateways: 2900,
                 fault,
-                circumstance,
+                scenario,
                 ..HANGING_SERVICE
             };
             outage.assert_all_notified_in_time();
@@ -302,7 +310,7 @@
                     discovery_mode,
                     seed,
                     fault: Fault::SilentInWatch,
-                    // Calls are answered again a moment later, but the open watches stay silent.
+                    // New calls are answered again after a moment, but the open watches remain silent.
                     duration: Duration::from_millis(1),
                     ..HANGING_SERVICE
                 };
--- a/tests/gateway/stand_in_discovery.rs
+++ b/tests/gateway/stand_in_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that fails on demand, on connections inside the process.
+//! A stand-in discovery service that fails on demand, reached over in-memory connections.
 
 use marlshelf::gateway::discovery::Connect;
 use rand::{Rng, SeedableRng};
@@ -13,19 +13,19 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How often a watch sends a keep-alive.
+/// The interval between keep-alives on a watch, as in the discovery protocol.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How late a connection and the head of a response may come without reaching their timeouts, or nearly so.
+/// Delays of a connect and a response head that are slightly below the client's timeouts.
 const LATE_CONNECTION: Duration = Duration::from_millis(950);
 pub const LATE_HEAD: Duration = Duration::from_millis(2950);
 
-const HEAD_OF_WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-const REDIRECT: &[u8] = b"HTTP/1.1 307 Elsewhere\r\n\
+const WATCH_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const UNAVAILABLE_RESPONSE: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+const REDIRECT_RESPONSE: &[u8] = b"HTTP/1.1 307 Elsewhere\r\n\
     Location: http://127.0.0.1:1/v1/servers\r\nContent-Length: 0\r\n\r\n";
 
-/// How calls fail while discovery cannot be reached. Calls under way fail in the same way: open watches fall
-/// silent, or are reset if calls are refused or reset.
+/// How calls fail during an outage. Calls in progress fail in the same way: open watches are reset if new
+/// calls are refused or reset, and fall silent otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     Refused,
@@ -34,20 +34,20 @@
     SilentAtHead,
     SilentInList,
     SilentInWatch,
-    /// The connection and the head of the list come late, and then nothing.
+    /// The connect and the head of the list are slow, and then the service falls silent.
     Late,
-    /// The head of the watch comes late, and then nothing. The watch has a timeout of its own.
+    /// The head of the watch is slow, and then the service falls silent. A watch has its own silence timeout.
     LateWatch,
     CutList,
     Endless,
     Unavailable,
     Redirect,
     OldRevision,
-    /// Each call fails in another way, chosen at random.
+    /// Each call fails with a random fault from [`FAULTS`].
     Mixed,
 }
 
-/// The faults of which [`Fault::Mixed`] chooses one for each call.
+/// The faults that [`Fault::Mixed`] chooses from for each call.
 pub const FAULTS: [Fault; 12] = [
     Fault::Refused,
     Fault::Reset,
@@ -69,42 +69,42 @@
     Down(Fault),
 }
 
-/// A discovery service that answers calls one after another, also those whose caller has given up.
+/// A discovery service that answers calls one at a time, including calls whose client has timed out.
 pub struct Service {
     availability: watch::Sender<Availability>,
     revision: Cell<u64>,
-    /// How long the service takes to answer a call.
-    cost: Duration,
-    /// When the service has answered all calls so far.
+    /// The time that the service takes to answer a call.
+    time_per_call: Duration,
+    /// When the service will have answered all calls received so far.
     busy_until: Cell<Instant>,
     rng: RefCell<Pcg64Mcg>,
 }
 
 impl Service {
-    /// A service that can be reached and has revision 1 of the list.
-    pub fn new(seed: u64, cost: Duration) -> Rc<Service> {
+    /// Creates a reachable service with revision 1 of the list.
+    pub fn new(seed: u64, time_per_call: Duration) -> Rc<Service> {
         Rc::new(Service {
             availability: watch::channel(Availability::Up).0,
             revision: Cell::new(1),
-            cost,
+            time_per_call,
             busy_until: Cell::new(Instant::now()),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
         })
     }
 
-    /// From now on calls fail in this way.
+    /// Starts an outage with this fault.
     pub fn fail(&self, fault: Fault) {
         self.availability.send_replace(Availability::Down(fault));
     }
 
-    /// From now on calls succeed, with a new revision of the list and no calls left to answer.
+    /// Ends the outage, with a new revision of the list and an empty queue of calls.
     pub fn recover_with_revision(&self, revision: u64) {
         self.revision.set(revision);
         self.busy_until.set(Instant::now());
         self.availability.send_replace(Availability::Up);
     }
 
-    /// How a call fails that comes now, if it does.
+    /// Returns the fault for a call that arrives now; `None` if the service is up.
     fn current_fault(&self) -> Option<Fault> {
         match *self.availability.borrow() {
             Availability::Up => None,
@@ -130,9 +130,9 @@
         Ok(client_end)
     }
 
-    /// Waits until the service has answered the calls before this one, and this one.
+    /// Queues behind the earlier calls, and waits until the service has processed this one.
     async fn wait_for_turn(&self) {
-        let done_at = self.busy_until.get().max(Instant::now()) + self.cost;
+        let done_at = self.busy_until.get().max(Instant::now()) + self.time_per_call;
         self.busy_until.set(done_at);
         sleep_until(done_at).await;
     }
@@ -145,11 +145,11 @@
             match fault {
                 Some(Fault::SilentAtHead) => return stay_silent(stream).await,
                 Some(Fault::Unavailable) => {
-                    stream.write_all(UNAVAILABLE).await?;
+                    stream.write_all(UNAVAILABLE_RESPONSE).await?;
                     continue;
                 }
                 Some(Fault::Redirect) => {
-                    stream.write_all(REDIRECT).await?;
+                    stream.write_all(REDIRECT_RESPONSE).await?;
                     continue;
                 }
                 Some(Fault::Reset) => return Ok(()),
@@ -158,12 +158,12 @@
                 Some(_) => {}
                 None => self.wait_for_turn().await,
             }
-            // A service that went down during the wait sends nothing more.
+            // A service that failed during the wait sends no response.
             if fault.is_none() && *self.availability.borrow() != Availability::Up {
                 return stay_silent(stream).await;
             }
             if is_watch {
-                stream.write_all(HEAD_OF_WATCH).await?;
+                stream.write_all(WATCH_RESPONSE_HEAD).await?;
                 return self.serve_watch(stream, &request, fault).await;
             }
             let list = self.list_as_served(fault);
@@ -246,13 +246,13 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// Sends a line as one chunk.
+/// Sends a line as a single HTTP chunk.
 async fn send_line(stream: &mut DuplexStream, line: &str) -> io::Result<()> {
     let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
     stream.write_all(chunk.as_bytes()).await
 }
 
-/// Sends nothing, and keeps the connection open until the client closes it.
+/// Keeps the connection open without sending anything until the client closes it.
 async fn stay_silent(mut stream: DuplexStream) -> io::Result<()> {
     while stream.read(&mut [0; 64]).await? > 0 {}
     Ok(())
@@ -265,7 +265,7 @@
     }
 }
 
-/// The services that can be reached, by address.
+/// A network with a discovery service at each of its addresses.
 #[derive(Clone)]
 pub struct Network {
     services: Rc<Vec<(SocketAddr, Rc<Service>)>>,
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Helpers that the tests of the gateway's parts share.
+//! Shared helpers for the tests of the gateway's components.
 
 use marlshelf::SettingsDocument;
 use marlshelf::gateway::configuration::Configuration;
@@ -10,12 +10,12 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Nothing in these tests waits this long unless it has failed.
+/// Timeout for operations that must complete. Reaching it means that the test has failed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 pub const ANY_PORT: &str = "127.0.0.1:0";
 pub const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
-/// The configuration of a gateway that is alone in its fleet.
+/// Returns the configuration of a fleet with a single gateway.
 pub fn test_configuration(address: SocketAddr) -> Configuration {
     let document: SettingsDocument = serde_json::from_value(serde_json::json!({
         "Balancers": 1,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs a test on one thread, in a task set that allows `spawn_local`.
+/// Runs a test on a single-threaded runtime, inside a `LocalSet` for `spawn_local`.
 pub fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -52,14 +52,15 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Writes without a turn for the runtime, which so has seen nothing of it when this returns.
+/// Writes to a socket without yielding to the runtime, which therefore does not know of the bytes yet when
+/// the function returns.
 pub fn write_unseen_by_runtime(client: TcpStream, bytes: &[u8]) -> TcpStream {
     let mut client = client.into_std().expect("a socket");
     client.write_all(bytes).expect("written");
     TcpStream::from_std(client).expect("a socket")
 }
 
-/// Reads until the other side closes the connection. A reset fails the test.
+/// Reads until the peer closes the connection. Panics if the connection is reset.
 pub async fn read_to_end(client: &mut TcpStream) -> String {
     let mut text = String::new();
     timeout(TEST_TIMEOUT, client.read_to_string(&mut text))
