--- a/tests/process/configuration.rs
+++ b/tests/process/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file: errors at startup, and a reload that moves the gateway to another discovery service.
+//! Tests of configuration errors at startup, and of reloads that switch to another discovery service.
 
 use crate::support::*;
 use std::process::Command;
@@ -6,30 +6,30 @@
 struct InvalidConfiguration {
     case: &'static str,
     text: &'static str,
-    /// What the error message names.
-    named_in_error: &'static str,
+    /// A text that the error message must contain.
+    expected_in_error: &'static str,
 }
 
 const INVALID_CONFIGURATIONS: [InvalidConfiguration; 4] = [
     InvalidConfiguration {
-        case: "no JSON",
+        case: "not JSON",
         text: "nonsense",
-        named_in_error: "expected",
+        expected_in_error: "expected",
     },
     InvalidConfiguration {
         case: "no settings",
         text: r#"{"seed":"1"}"#,
-        named_in_error: "settings",
+        expected_in_error: "settings",
     },
     InvalidConfiguration {
         case: "no classes",
         text: r#"{"seed":"1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"Balancers":1,"Classes":[]}}"#,
-        named_in_error: "class",
+        expected_in_error: "class",
     },
     InvalidConfiguration {
         case: "no address",
         text: r#"{"seed":"1","listen":"here","discovery":"127.0.0.1:1","settings":{"Balancers":1,"Classes":[{"Target":1.0,"Effect":"once"}]}}"#,
-        named_in_error: "listen",
+        expected_in_error: "listen",
     },
 ];
 
@@ -38,7 +38,7 @@
     for InvalidConfiguration {
         case,
         text,
-        named_in_error,
+        expected_in_error,
     } in INVALID_CONFIGURATIONS
     {
         let path = write_config_file(text);
@@ -55,8 +55,8 @@
             "{case}: expected one line, got {error:?}"
         );
         assert!(
-            error.contains(named_in_error),
-            "{case}: expected {named_in_error:?} in {error:?}"
+            error.contains(expected_in_error),
+            "{case}: expected {expected_in_error:?} in {error:?}"
         );
     }
     let output = Command::new(GATEWAY_PROGRAM)
@@ -71,12 +71,13 @@
 }
 
 #[test]
-fn reload_moves_to_another_discovery_and_keeps_requests_in_flight() {
+fn reload_switches_the_discovery_service_and_keeps_requests_in_flight() {
     let old_endpoint = StandInEndpoint::start();
     let new_endpoint = StandInEndpoint::start();
     let old_list = complete_list(41, &[ready_endpoint("s-1", old_endpoint.address)]);
     let old_discovery = StandInDiscovery::with_list(old_list);
-    // Each discovery service counts its own revisions: the new one's is lower.
+    // The new service's revision is lower than the old one's, because each discovery service numbers its own
+    // revisions.
     let new_list = complete_list(7, &[ready_endpoint("s-2", new_endpoint.address)]);
     let new_discovery = StandInDiscovery::with_list(new_list);
     let mut config = GatewayConfig::new(old_discovery.address);
@@ -101,7 +102,7 @@
     old_watch.expect_close("the new configuration names another discovery service");
     let request = read_request(9000);
     let mut pooled = complete_on_new_connection(&mut client, request, &new_endpoint, "moved");
-    // The request in flight and its connection survive the reload.
+    // The reload affects neither the request in flight nor its connection.
     in_flight.send_value("kept");
     busy_client.expect_reply("kept");
     new_watch.send(&list_change(
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn reload_moves_away_from_a_discovery_that_never_answered() {
+fn reload_switches_from_a_discovery_service_that_never_answered() {
     let endpoint = StandInEndpoint::start();
     let silent_discovery = ManualDiscovery::start();
     let gateway = GatewayConfig {
--- a/tests/process/endpoint_connections.rs
+++ b/tests/process/endpoint_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: pooling, reuse and idle timeout.
+//! Tests of the pooling, reuse and idle timeout of connections to endpoints.
 
 use crate::support::*;
 use std::thread;
@@ -19,8 +19,9 @@
     fleet
         .endpoint
         .expect_no_new_connection("the pooled connection is reused");
-    // Another test that starts a process at this moment holds a copy of the socket until its exec, so that dropping
-    // the connection may not close it yet. The gateway closes its end once it has seen the end of the stream.
+    // Dropping the connection may not close the socket immediately: a child process that another test forks
+    // at this moment holds a copy until its exec. Therefore shut the socket down explicitly, and wait until
+    // the gateway has seen the end of the stream and closed its end.
     let mut pooled = pooled.expect("there is a pooled connection");
     pooled.half_close();
     pooled.expect_close("the endpoint has closed it");
@@ -41,18 +42,18 @@
     let Some(mut second) = fleet.endpoint.connection_unless_reused(&mut first) else {
         assert!(
             answered_at.elapsed() >= Duration::from_millis(5),
-            "expected a pause of 5 ms at least before the connection is reused"
+            "expected a delay of at least 5 ms before the connection is reused"
         );
         return;
     };
-    // A duplicate of the first answer that arrives now must not be taken for the second request's answer.
+    // A late duplicate of the first answer must not be taken for the answer to the second request.
     first.try_send("*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n");
     second.answer_request("two");
     client.expect_reply("two");
 }
 
 #[test]
-fn pooled_connections_are_closed_well_before_the_endpoint_would_close_them() {
+fn idle_connections_are_closed_well_before_the_endpoint_would_close_them() {
     let fleet = SingleEndpoint::configured(|config| config.limits = r#""ConnIdle":1000.0"#);
     let mut in_flight = fleet.start_request(read_request(5000));
     let started = Instant::now();
@@ -62,6 +63,6 @@
         .expect_close("it has been idle for most of a second");
     assert!(
         started.elapsed() >= Duration::from_millis(400),
-        "expected the connection to stay pooled for 400 ms at least"
+        "expected the connection to stay pooled for at least 400 ms"
     );
 }
--- a/tests/process/endpoint_lists.rs
+++ b/tests/process/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: draining, restarted, replaced and removed endpoints, and watches that break.
+//! Tests of endpoint lists with draining, restarted, replaced and removed endpoints, and of broken watches.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
     let mut client = fleet.gateway.connect();
     let mut pooled =
         complete_on_new_connection(&mut client, read_request(5000), &fleet.endpoint, "old");
-    // The list names the new endpoint before it says that the old one was removed.
+    // The update lists the new endpoint, while the removal of the old one has not been reported yet.
     let successor = ready_endpoint("s-2", fleet.endpoint.address);
     watch.send(&list_change(2, &[successor]));
-    pooled.expect_close("its endpoint's address belongs to another one");
+    pooled.expect_close("its endpoint's address belongs to another endpoint");
     complete_on_new_connection(&mut client, read_request(5000), &fleet.endpoint, "new");
 }
 
@@ -93,11 +93,11 @@
     in_flight.client.expect_reply("-ERR failed");
     assert!(
         started.elapsed() < Duration::from_secs(7),
-        "expected the failure on the watch event, before the request's deadline"
+        "expected the request to fail when the watch reports the restart, before its deadline"
     );
     in_flight
         .forwarded
-        .expect_close("it is a connection to the former start of the endpoint");
+        .expect_close("it was opened before the endpoint's restart");
 }
 
 #[test]
@@ -117,7 +117,7 @@
 #[test]
 fn watch_continues_from_the_known_list_without_a_poll_of_the_complete_list() {
     let endpoint = StandInEndpoint::start();
-    // A poll of the complete list would remove the known endpoint.
+    // If the gateway polled the complete list, which is empty, it would remove the cached endpoint.
     let discovery = StandInDiscovery::with_list(complete_list(41, &[]));
     let gateway = GatewayConfig {
         known_list: complete_list(41, &[ready_endpoint("s-1", endpoint.address)]),
@@ -137,7 +137,7 @@
     let silent_watch = fleet.discovery.next_watch();
     let mut third_watch = fleet.discovery.next_watch();
     drop(silent_watch);
-    // An entry that cannot be read costs that entry only.
+    // A malformed entry is skipped without affecting the other entries.
     let malformed_entry = r#"{"uid":7}"#.to_string();
     third_watch.send(&list_change(
         2,
@@ -167,8 +167,8 @@
     client.send(write_request("order", 8000));
     let mut in_flight = endpoint.next_connection();
     in_flight.read_command();
-    // The attempt may have executed in pod group 3, which has no endpoint any more. Those of group 0 do not
-    // recognise the key: they would execute it once more.
+    // The attempt may have been executed in pod group 3, which has no endpoints left. The endpoints of group
+    // 0 do not recognise the idempotency key and would execute the request again.
     watch.send(&list_change(
         2,
         &[
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn removed_endpoint_needs_no_description() {
+fn removed_endpoint_may_be_listed_without_its_other_fields() {
     let fleet = SingleEndpoint::start();
     let other_endpoint = StandInEndpoint::start();
     let mut watch = fleet.discovery.next_watch();
--- a/tests/process/endpoint_responses.rs
+++ b/tests/process/endpoint_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints that are malformed or come with surplus bytes.
+//! Tests of endpoint responses that are malformed or followed by surplus bytes.
 
 use crate::support::*;
 
@@ -16,7 +16,7 @@
         let reply = in_flight.client.read_reply();
         assert_eq!(
             reply, "-ERR failed",
-            "{response:?}: expected that the request fails"
+            "{response:?}: expected the request to fail"
         );
         in_flight
             .forwarded
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn connection_with_bytes_behind_a_response_is_not_reused() {
+fn connection_with_surplus_bytes_after_a_response_is_not_reused() {
     let fleet = SingleEndpoint::start();
     let mut in_flight = fleet.start_request(read_request(5000));
     in_flight
@@ -43,7 +43,7 @@
     let fleet = SingleEndpoint::start();
     let mut in_flight = fleet.start_request(read_request(5000));
     in_flight.complete("a");
-    // The beginning of a response, which would be taken for that of the next one.
+    // The start of a response, which could be taken for the response to the next request.
     in_flight.forwarded.send("*3\r\n");
     in_flight
         .forwarded
@@ -66,10 +66,10 @@
         let reply = in_flight.client.read_reply();
         assert_eq!(
             reply, "good",
-            "{malformed_rest:?}: expected the value before it"
+            "{malformed_rest:?}: expected the value that precedes it"
         );
         in_flight
             .forwarded
-            .expect_close("the end of its response is not known");
+            .expect_close("the end of its response is unknown");
     }
 }
--- a/tests/process/readiness.rs
+++ b/tests/process/readiness.rs
@@ -1,18 +1,19 @@
-//! Readiness: a gateway serves clients whatever discovery does and however long its endpoint list is.
+//! Tests that a gateway becomes ready regardless of the state of discovery and the length of the endpoint
+//! list.
 
 use crate::support::*;
 use std::net::SocketAddr;
 
-/// Waits until the gateway serves clients and answers one. Its log line is awaited first, as a predecessor may hold
-/// the port before.
+/// Waits until the gateway logs that it is serving, and then checks that it answers a client. Until the log
+/// line appears, a predecessor may still be listening on the port.
 #[track_caller]
 pub fn expect_ready(gateway: &mut GatewayProcess) {
     gateway.wait_until_serving();
     gateway.connect().expect_pong();
 }
 
-/// So many endpoint names at addresses where nothing listens.
-fn unreachable_addresses(count: u32) -> impl Iterator<Item = (String, SocketAddr)> {
+/// Generates `count` endpoint names, each with an address on which nothing listens.
+fn unreachable_endpoints(count: u32) -> impl Iterator<Item = (String, SocketAddr)> {
     (0..count).map(|index| {
         let [_, _, high, low] = index.to_be_bytes();
         let address = SocketAddr::from(([127, 9, high, low], 6379));
@@ -33,7 +34,7 @@
     let mut gateway = GatewayConfig::new(discovery.address).spawn();
     let mut first_poll = discovery.next_connection();
     expect_ready(&mut gateway);
-    // The first poll goes on until its timeout, and later ones get no answer either, until one does.
+    // The first poll gets no answer and runs into its timeout. A later poll is answered.
     let request_line = first_poll.read_line();
     assert!(
         request_line.starts_with("GET /v1/servers "),
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn twenty_gateways_that_start_at_once_are_all_ready_while_discovery_is_unavailable() {
+fn twenty_gateways_that_start_simultaneously_are_all_ready_while_discovery_is_unavailable() {
     let refusing = ReservedPort::bind();
     let silent = ManualDiscovery::start();
     let configs = [
@@ -79,9 +80,9 @@
 fn gateway_with_a_very_long_known_list_is_ready_and_forwards_to_its_ready_endpoint() {
     let refusing = ReservedPort::bind();
     let endpoint = StandInEndpoint::start();
-    // The longer list is longer than discovery may send.
+    // The list of 40,000 endpoints exceeds the maximum length of a document from discovery.
     for count in [20_000, 40_000] {
-        let listed: Vec<String> = unreachable_addresses(count)
+        let listed: Vec<String> = unreachable_endpoints(count)
             .map(|(uid, address)| draining_endpoint(&uid, address))
             .chain([ready_endpoint("s-here", endpoint.address)])
             .collect();
@@ -99,7 +100,7 @@
 #[test]
 fn gateway_with_a_very_long_known_list_of_ready_endpoints_is_ready() {
     let refusing = ReservedPort::bind();
-    let listed: Vec<String> = unreachable_addresses(65_000)
+    let listed: Vec<String> = unreachable_endpoints(65_000)
         .map(|(uid, address)| ready_endpoint(&uid, address))
         .collect();
     let config = GatewayConfig {
--- a/tests/process/takeover.rs
+++ b/tests/process/takeover.rs
@@ -1,17 +1,18 @@
-//! Listening addresses that are in use: a gateway waits for them, and takes over from its predecessor.
+//! Tests of a gateway whose listening address is still in use, mostly by its predecessor.
 
 use crate::readiness::expect_ready;
 use crate::support::*;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 
-/// A listener on an address that no other test uses: its port, once free, is not given to a test that asks for any.
-fn listener_on_own_address(last_octet: u8) -> TcpListener {
+/// Binds a listener on a loopback address that no other test uses. When the listener is dropped, its port
+/// cannot be assigned to a concurrent test that binds to any free port.
+fn listener_on_dedicated_address(last_octet: u8) -> TcpListener {
     TcpListener::bind(SocketAddr::from(([127, 0, 5, last_octet], 0))).expect("a free port exists")
 }
 
-/// An address as above, with nothing listening there.
-fn own_free_address(last_octet: u8) -> SocketAddr {
-    let listener = listener_on_own_address(last_octet);
+/// Returns a free address from [`listener_on_dedicated_address`].
+fn dedicated_free_address(last_octet: u8) -> SocketAddr {
+    let listener = listener_on_dedicated_address(last_octet);
     listener.local_addr().expect("the listener is bound")
 }
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// The gateway serves clients at this address, and has its gossip socket at the same address.
+/// Returns a configuration whose client listener and gossip socket share an address.
 fn config_with_gossip_at(discovery: SocketAddr, address: SocketAddr) -> GatewayConfig {
     GatewayConfig {
         gossip_listen: address.to_string(),
@@ -52,7 +53,7 @@
 #[test]
 fn gateway_whose_address_is_in_use_logs_it_and_is_ready_once_the_address_is_free() {
     let refusing = ReservedPort::bind();
-    let listener = listener_on_own_address(1);
+    let listener = listener_on_dedicated_address(1);
     let address = listener.local_addr().expect("the listener is bound");
     let mut gateway = config_listening_at(refusing.address, address).spawn();
     gateway.wait_for_log(&format!("{address} is in use"));
@@ -64,11 +65,11 @@
 #[test]
 fn gateway_whose_gossip_address_is_in_use_accepts_no_client_before_it_is_free() {
     let refusing = ReservedPort::bind();
-    let address = own_free_address(2);
+    let address = dedicated_free_address(2);
     let predecessor_socket = UdpSocket::bind(address).expect("the address is free");
     let mut gateway = config_with_gossip_at(refusing.address, address).spawn();
     gateway.wait_for_log(&format!("{address} is in use"));
-    // A client that it accepted now would be answered late, or never.
+    // The gateway must not accept a client that it cannot answer until the gossip address is free.
     assert!(
         TcpStream::connect(address).is_err(),
         "expected that clients are refused"
@@ -80,7 +81,7 @@
 #[test]
 fn sigterm_ends_a_gateway_that_waits_for_its_address() {
     let refusing = ReservedPort::bind();
-    let listener = listener_on_own_address(3);
+    let listener = listener_on_dedicated_address(3);
     let address = listener.local_addr().expect("the listener is bound");
     let mut gateway = config_listening_at(refusing.address, address).spawn();
     gateway.wait_for_log(&format!("{address} is in use"));
@@ -93,7 +94,7 @@
 #[test]
 fn gateway_with_an_address_of_another_machine_fails_at_once() {
     let refusing = ReservedPort::bind();
-    // An address for documentation, which no machine has.
+    // An address reserved for documentation (RFC 5737), which no machine has.
     let address = SocketAddr::from(([192, 0, 2, 1], 6379));
     let mut gateway = config_listening_at(refusing.address, address).spawn();
     gateway.wait_for_log(&format!("cannot listen at {address}"));
@@ -106,7 +107,7 @@
 #[test]
 fn successor_started_during_a_graceful_shutdown_takes_over_and_the_predecessor_completes() {
     let endpoint = StandInEndpoint::start();
-    let address = own_free_address(4);
+    let address = dedicated_free_address(4);
     let discovery = StandInDiscovery::with_endpoint(endpoint.address);
     let config = config_with_gossip_at(discovery.address, address);
     let mut predecessor = config.start();
@@ -114,7 +115,7 @@
     busy_client.send(read_request(8000));
     let mut in_flight = endpoint.next_connection();
     in_flight.read_command();
-    // The predecessor handles SIGTERM after its successor has started.
+    // The predecessor is stopped, so that it handles SIGTERM only after its successor has started.
     predecessor.signal(Signal::Stop);
     predecessor.signal(Signal::Terminate);
     let mut successor = config.spawn();
@@ -133,13 +134,13 @@
 #[test]
 fn successor_started_as_its_predecessor_is_killed_is_ready_despite_the_connections_left_behind() {
     let endpoint = StandInEndpoint::start();
-    let address = own_free_address(5);
+    let address = dedicated_free_address(5);
     let discovery = StandInDiscovery::with_endpoint(endpoint.address);
     let config = config_with_gossip_at(discovery.address, address);
     let mut predecessor = config.start();
     for round in 0..3 {
-        // The connection that the gateway closes stays in TIME_WAIT; the others have a request in flight and a
-        // partial command.
+        // The predecessor leaves three connections behind: one that it has closed, which remains in
+        // TIME_WAIT, one with a request in flight, and one with a partial command.
         let mut closed_client = predecessor.connect();
         let mut busy_client = predecessor.connect();
         let mut partial_client = predecessor.connect();
@@ -151,7 +152,7 @@
         let mut in_flight = endpoint.next_connection();
         in_flight.read_command();
         partial_client.send(PARTIAL_PING);
-        // The predecessor's end is not awaited: it may still be there for a moment.
+        // Do not wait for the exit: the killed process may still hold the address for a moment.
         predecessor.signal(Signal::Kill);
         let mut successor = config.spawn();
         expect_ready(&mut successor);
