--- a/src/gateway/discovery/document.rs
+++ b/src/gateway/discovery/document.rs
@@ -54,12 +54,12 @@
 }
 
 fn parse_entry(entry: &Value) -> Option<ListedEndpoint> {
-    let state = parse_state(text(entry, "state")?)?;
-    let name = text(entry, "uid").filter(|name| !name.is_empty())?;
+    let state = parse_state(string_field(entry, "state")?)?;
+    let name = string_field(entry, "uid").filter(|name| !name.is_empty())?;
     // A removal must not be missed because of other fields, which are irrelevant for a removed endpoint.
     // Defaults replace those that are missing or malformed.
     let removed = state == EndpointState::Removed;
-    let address = text(entry, "endpoint").and_then(|address| address.parse().ok());
+    let address = string_field(entry, "endpoint").and_then(|address| address.parse().ok());
     let cell = entry
         .get("pod_group")
         .and_then(Value::as_u64)
@@ -67,12 +67,12 @@
     Some(ListedEndpoint {
         name: name.to_string(),
         address: address.or(removed.then_some(UNKNOWN_ADDRESS))?,
-        zone: text(entry, "az").unwrap_or_default().to_string(),
-        hardware: text(entry, "model").unwrap_or_default().to_string(),
+        zone: string_field(entry, "az").unwrap_or_default().to_string(),
+        hardware: string_field(entry, "model").unwrap_or_default().to_string(),
         cell: cell.or(removed.then_some(0))?,
         state,
-        weight: non_negative(entry, "capacity_hint").unwrap_or(DEFAULT_WEIGHT),
-        started_at: non_negative(entry, "boot_ms").map_or(Timestamp::ZERO, Timestamp),
+        weight: non_negative_field(entry, "capacity_hint").unwrap_or(DEFAULT_WEIGHT),
+        started_at: non_negative_field(entry, "boot_ms").map_or(Timestamp::ZERO, Timestamp),
     })
 }
 
@@ -85,11 +85,11 @@
     }
 }
 
-fn text<'a>(entry: &'a Value, key: &str) -> Option<&'a str> {
+fn string_field<'a>(entry: &'a Value, key: &str) -> Option<&'a str> {
     entry.get(key).and_then(Value::as_str)
 }
 
-fn non_negative(entry: &Value, key: &str) -> Option<f64> {
+fn non_negative_field(entry: &Value, key: &str) -> Option<f64> {
     entry
         .get(key)
         .and_then(Value::as_f64)
--- a/src/gateway/discovery/frames.rs
+++ b/src/gateway/discovery/frames.rs
@@ -55,8 +55,8 @@
             return Ok(Some(Frame::KeepAlive));
         }
         let line_is_blank = self.last_line().trim_ascii().is_empty();
-        // Parse an indented document only after a line with a closing brace, not after every line. A blank
-        // line inside a document is an error that the parser reports.
+        // Each attempt parses the whole document, so an indented document is parsed only after a line that
+        // ends with a closing brace. A blank line inside a document is an error, which the parser reports.
         let may_be_complete = self.pending.trim_ascii().ends_with(b"}");
         if !is_first_line && !line_is_blank && !may_be_complete {
             return Ok(None);
--- a/src/gateway/discovery/schedule.rs
+++ b/src/gateway/discovery/schedule.rs
@@ -37,8 +37,8 @@
 /// sending requests to a draining endpoint, divided by this.
 const DRAIN_GRACE_DIVISOR: u32 = 4;
 /// Durations from the settings are clamped to this range.
-const MIN_SETTING: Duration = Duration::from_millis(1);
-const MAX_SETTING: Duration = Duration::from_mins(1);
+const MIN_CONFIGURED_DURATION: Duration = Duration::from_millis(1);
+const MAX_CONFIGURED_DURATION: Duration = Duration::from_mins(1);
 /// The range of the random factor applied to each delay.
 const JITTER: std::ops::Range<f64> = 0.5..1.5;
 
@@ -150,5 +150,5 @@
 
 /// Converts a duration from the settings and clamps it to a range that is safe to calculate with.
 fn duration_from_setting(milliseconds: f64) -> Duration {
-    to_duration(Milliseconds(milliseconds)).clamp(MIN_SETTING, MAX_SETTING)
+    to_duration(Milliseconds(milliseconds)).clamp(MIN_CONFIGURED_DURATION, MAX_CONFIGURED_DURATION)
 }
--- a/src/gateway/discovery/transport.rs
+++ b/src/gateway/discovery/transport.rs
@@ -116,7 +116,7 @@
     Ok(collected.to_bytes())
 }
 
-/// Runs a step of a call, and converts its error or the expiry of the deadline.
+/// Runs a step of a call up to its deadline, and converts its error or time-out to a [`DiscoveryError`].
 async fn with_deadline<T, E>(
     deadline: Instant,
     step: DiscoveryCallStep,
--- a/src/gateway/endpoints/connection.rs
+++ b/src/gateway/endpoints/connection.rs
@@ -238,7 +238,7 @@
             let nothing_follows = length == buffer.len();
             handler.handle_endpoint_event(EndpointEvent::ResponseReceived {
                 connection: self,
-                response: EndpointResponse::read(reply, &buffer),
+                response: EndpointResponse::from_reply(reply, &buffer),
                 nothing_follows,
             });
             if !nothing_follows {
--- a/src/gateway/endpoints/response.rs
+++ b/src/gateway/endpoints/response.rs
@@ -24,7 +24,7 @@
 
 impl<'a> EndpointResponse<'a> {
     /// Interprets a parsed reply. `bytes` is the buffer that the reply was parsed from.
-    pub fn read(reply: Reply, bytes: &'a [u8]) -> EndpointResponse<'a> {
+    pub fn from_reply(reply: Reply, bytes: &'a [u8]) -> EndpointResponse<'a> {
         match reply {
             Reply::Served {
                 value,
@@ -35,13 +35,13 @@
                 actual_cost: used.and_then(|range| parse_actual_cost(&bytes[range])),
                 load_report: report.and_then(|range| parse_load_report(&bytes[range])),
             },
-            Reply::Error(range) => EndpointResponse::read_error_line(&bytes[range]),
+            Reply::Error(range) => EndpointResponse::from_error_line(&bytes[range]),
         }
     }
 
     /// Interprets an error line without its leading `-` and line end. Only `BUSY`, alone or with one load
     /// report, guarantees that the request was not executed.
-    fn read_error_line(line: &[u8]) -> EndpointResponse<'a> {
+    fn from_error_line(line: &[u8]) -> EndpointResponse<'a> {
         let mut words = line.split(|byte| *byte == b' ');
         let first = words.next().unwrap_or_default();
         let last = words.next_back();
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -85,23 +85,23 @@
         sockets: BoundSockets,
         hangup: Signal,
     ) -> Result<RunningGateway, StartupError> {
-        let parts = GatewayParts::build(configuration, sockets.gossip)?;
-        let needs_first_list = parts.cached_revision.is_none();
+        let components = GatewayComponents::build(configuration, sockets.gossip)?;
+        let needs_first_list = components.cached_revision.is_none();
         let running = RunningGateway {
-            name: parts.name.clone(),
+            name: components.name.clone(),
             listen_address: sockets.listen_address,
             listener: sockets.listener,
-            termination_grace: parts.termination_grace,
-            event_loop: parts.event_loop.clone(),
-            clients: parts.clients.clone(),
+            termination_grace: components.termination_grace,
+            event_loop: components.event_loop.clone(),
+            clients: components.clients.clone(),
             client_listener: ClientListener::new(
-                parts.clients.clone(),
-                parts.event_loop.clone(),
-                parts.request_schema.clone(),
+                components.clients.clone(),
+                components.event_loop.clone(),
+                components.request_schema.clone(),
             ),
-            has_peers: parts.gossip.is_some(),
-            first_list: needs_first_list.then(|| parts.first_list.clone()),
-            background_tasks: parts.start_tasks(hangup),
+            has_peers: components.gossip.is_some(),
+            first_list: needs_first_list.then(|| components.first_list.clone()),
+            background_tasks: components.start_tasks(hangup),
         };
         Ok(running)
     }
@@ -121,7 +121,7 @@
 }
 
 /// The components of a gateway before its background tasks start.
-struct GatewayParts {
+struct GatewayComponents {
     name: String,
     gateway_id: GatewayId,
     termination_grace: Duration,
@@ -136,11 +136,11 @@
     first_list: Rc<Notify>,
 }
 
-impl GatewayParts {
+impl GatewayComponents {
     fn build(
         mut configuration: Configuration,
         gossip_socket: Option<UdpSocket>,
-    ) -> Result<GatewayParts, SettingsError> {
+    ) -> Result<GatewayComponents, SettingsError> {
         let name = std::mem::take(&mut configuration.name);
         let gateway_id = configuration.settings.gateway;
         let termination_grace = configuration.document.termination_grace();
@@ -160,7 +160,7 @@
         if let Some(list) = cached_list {
             event_loop.borrow_mut().endpoints_changed(&list);
         }
-        Ok(GatewayParts {
+        Ok(GatewayComponents {
             name,
             gateway_id,
             termination_grace,
