--- a/tests/gateway/notification_deadline.rs
+++ b/tests/gateway/notification_deadline.rs
@@ -153,7 +153,7 @@
     Scenario::DiscoveryMoved,
 ];
 
-/// An outage of discovery.
+/// The parameters of a simulated discovery outage.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     gateways: u32,
