--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -32,7 +32,7 @@
     /// Maximum number of connections to endpoints.
     pub max_connections: usize,
     /// Limit in bytes that applies twice: to the commands in flight, and to incomplete responses.
-    pub memory_per_purpose: usize,
+    pub memory_budget_bytes: usize,
     pub connect_timeout: Duration,
     /// Time after which endpoints close an idle connection.
     pub endpoint_idle_timeout: Duration,
@@ -58,7 +58,7 @@
     ) -> Forwarder {
         let pool_limits = EndpointPoolLimits {
             max_connections: limits.max_connections,
-            read_memory_bytes: limits.memory_per_purpose,
+            read_memory_bytes: limits.memory_budget_bytes,
             connect_timeout: limits.connect_timeout,
             endpoint_idle_timeout: limits.endpoint_idle_timeout,
         };
@@ -66,7 +66,7 @@
             requests: ProxiedRequests::new(
                 &settings.classes,
                 limits.max_requests,
-                limits.memory_per_purpose,
+                limits.memory_budget_bytes,
             ),
             endpoints: EndpointPool::new(&pool_limits, handler),
             malformed_responses: MalformedResponses::default(),
