--- a/src/decisions/gossip/codec.rs
+++ b/src/decisions/gossip/codec.rs
@@ -1,4 +1,5 @@
-//! The text form of gossip messages. Numbers have one decimal; keys and request numbers are hexadecimal.
+//! Text encoding of gossip messages. Decimal numbers have one digit after the point, except durations, which
+//! are whole milliseconds; tenant keys and request ids are hexadecimal.
 
 use super::{
     GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse,
@@ -7,15 +8,15 @@
 use crate::events::{GatewayId, PlanIndex};
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
-/// Numbers of this magnitude or more are rejected: no gateway sends them, so the datagram is damaged.
+/// Upper bound of the magnitude of decoded numbers. Gateways never send larger ones, so the datagram must be
+/// corrupted.
 const NUMBER_LIMIT: f64 = 1e9;
 
 const DENIED: u8 = 0;
 const GRANTED: u8 = 1;
 const QUEUED: u8 = 2;
 
-/// The text of a message. In place of the time at which a request expires it holds the duration until then,
-/// because the clocks of gateways differ.
+/// Encodes a message. Expiry times are sent as the remaining duration, because the clocks of gateways differ.
 pub(super) fn encode(tenant: TenantKey, message: &GossipMessage, now: Timestamp) -> String {
     let key = tenant.0;
     match *message {
@@ -41,7 +42,7 @@
 fn encode_request(key: u64, plan: PlanIndex, request: &QuotaRequest, now: Timestamp) -> String {
     let kind = if request.needs_permit { 'p' } else { 'a' };
     let QuotaRequest {
-        id: QuotaRequestId(number),
+        id: QuotaRequestId(id),
         cost: Tokens(cost),
         prefetch: Tokens(prefetch),
         demand: Tokens(demand),
@@ -49,11 +50,11 @@
         ..
     } = *request;
     let Milliseconds(valid_for) = expires_at - now;
-    format!("{kind},{key:x},{plan},{number:x},{cost:.1},{prefetch:.1},{demand:.1},{valid_for:.0};")
+    format!("{kind},{key:x},{plan},{id:x},{cost:.1},{prefetch:.1},{demand:.1},{valid_for:.0};")
 }
 
 fn encode_response(key: u64, response: &QuotaResponse) -> String {
-    let QuotaRequestId(number) = response.request;
+    let QuotaRequestId(id) = response.request;
     let (code, Tokens(cost)) = match response.decision {
         QuotaDecision::Denied => (DENIED, Tokens::ZERO),
         QuotaDecision::Granted { cost } => (GRANTED, cost),
@@ -64,10 +65,10 @@
         granted: TokensPerSecond(granted),
         tokens: Tokens(tokens),
     } = response.state;
-    format!("g,{key:x},{code},{number:x},{cost:.1},{demand:.1},{granted:.1},{tokens:.1};")
+    format!("g,{key:x},{code},{id:x},{cost:.1},{demand:.1},{granted:.1},{tokens:.1};")
 }
 
-/// The messages in a datagram from this gateway, in their order. Items that cannot be parsed are skipped.
+/// Decodes the messages in a datagram from gateway `from`, in order. Items that cannot be parsed are skipped.
 pub(crate) fn decode(
     text: &str,
     from: GatewayId,
@@ -80,26 +81,26 @@
 fn decode_item(text: &str, from: GatewayId, now: Timestamp) -> Option<(TenantKey, GossipMessage)> {
     let fields = Fields(text.split(',').collect());
     let tenant = TenantKey(fields.hexadecimal(1)?);
-    // The plan, except in a response, where it is the decision.
-    let code: usize = fields.0.get(2)?.parse().ok()?;
+    // Responses have the decision in the field that holds the plan in all other messages.
+    let plan_or_decision: usize = fields.0.get(2)?.parse().ok()?;
     let message = match fields.0[0] {
-        "a" => decode_request(&fields, false, PlanIndex(code), from, now)?,
-        "p" => decode_request(&fields, true, PlanIndex(code), from, now)?,
+        "a" => decode_request(&fields, false, PlanIndex(plan_or_decision), from, now)?,
+        "p" => decode_request(&fields, true, PlanIndex(plan_or_decision), from, now)?,
         "t" => GossipMessage::SettleUsage {
-            plan: PlanIndex(code),
+            plan: PlanIndex(plan_or_decision),
             cost: Tokens(fields.signed_number(4)?),
             permit: fields.request_id(3),
         },
         "u" => GossipMessage::ReportUnconfirmedUsage {
-            plan: PlanIndex(code),
+            plan: PlanIndex(plan_or_decision),
             last_request: fields.request_id(3)?,
-            cost: Tokens(fields.number(4)?),
+            cost: Tokens(fields.non_negative_number(4)?),
         },
         "k" => GossipMessage::RenewPermit {
-            plan: PlanIndex(code),
+            plan: PlanIndex(plan_or_decision),
             permit: fields.request_id(3)?,
         },
-        "g" => decode_response(&fields, code)?,
+        "g" => decode_response(&fields, plan_or_decision)?,
         _ => return None,
     };
     Some((tenant, message))
@@ -115,17 +116,17 @@
     let request = QuotaRequest {
         gateway,
         id: fields.request_id(3)?,
-        cost: Tokens(fields.number(4)?),
-        prefetch: Tokens(fields.number(5)?),
-        demand: Tokens(fields.number(6)?),
+        cost: Tokens(fields.non_negative_number(4)?),
+        prefetch: Tokens(fields.non_negative_number(5)?),
+        demand: Tokens(fields.non_negative_number(6)?),
         needs_permit,
-        expires_at: now + Milliseconds(fields.number(7)?),
+        expires_at: now + Milliseconds(fields.non_negative_number(7)?),
     };
     Some(GossipMessage::RequestQuota { plan, request })
 }
 
 fn decode_response(fields: &Fields, code: usize) -> Option<GossipMessage> {
-    let cost = Tokens(fields.number(4)?);
+    let cost = Tokens(fields.non_negative_number(4)?);
     let decision = match u8::try_from(code).ok()? {
         DENIED => QuotaDecision::Denied,
         GRANTED => QuotaDecision::Granted { cost },
@@ -133,8 +134,8 @@
         _ => return None,
     };
     let state = OwnerState {
-        demand: TokensPerSecond(fields.number(5)?),
-        granted: TokensPerSecond(fields.number(6)?),
+        demand: TokensPerSecond(fields.non_negative_number(5)?),
+        granted: TokensPerSecond(fields.non_negative_number(6)?),
         tokens: Tokens(fields.signed_number(7)?),
     };
     Some(GossipMessage::QuotaResponse(QuotaResponse {
@@ -144,7 +145,7 @@
     }))
 }
 
-/// The fields of one item.
+/// The comma-separated fields of one item.
 struct Fields<'a>(Vec<&'a str>);
 
 impl Fields<'_> {
@@ -161,8 +162,7 @@
         Some(number).filter(|number| number.abs() < NUMBER_LIMIT)
     }
 
-    /// A number that may not be negative.
-    fn number(&self, index: usize) -> Option<f64> {
+    fn non_negative_number(&self, index: usize) -> Option<f64> {
         self.signed_number(index).filter(|number| *number >= 0.0)
     }
 }
--- a/src/decisions/gossip/messages.rs
+++ b/src/decisions/gossip/messages.rs
@@ -1,21 +1,21 @@
-//! The typed messages that gateways exchange about the quota of a tenant.
+//! Typed messages that gateways exchange about tenants' quotas.
 
 use crate::events::{GatewayId, PlanIndex};
 use crate::units::{Timestamp, Tokens, TokensPerSecond};
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// The bits of a key that are the hash of the tenant's name.
+/// Number of low bits of a tenant key that hold the hash of the tenant's name.
 const NAME_BITS: u32 = 40;
 const NAME_MASK: u64 = (1 << NAME_BITS) - 1;
 
-/// A tenant and its plan: 40 bits of the FNV-1a hash of the name, and the plan's number above them. Each plan
-/// of a tenant has an account of its own, so that requests on one plan do not use up the quota of another.
+/// A tenant on a plan: the low 40 bits hold the FNV-1a hash of the tenant's name folded to 40 bits, and the
+/// bits above hold the plan index. Each plan of a tenant has its own account, so that requests on one plan do
+/// not use up the quota of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TenantKey(pub u64);
 
 impl TenantKey {
-    /// The key of a tenant on a plan.
     pub(crate) fn new(name: &str, plan: PlanIndex) -> TenantKey {
         let mut hasher = FnvHasher::default();
         hasher.write(name.as_bytes());
@@ -24,43 +24,42 @@
         TenantKey(name_hash | (plan.0 as u64) << NAME_BITS)
     }
 
-    /// The hash of the tenant's name, which is the same for all its plans.
+    /// Returns the hash of the tenant's name, which is the same for all plans of the tenant.
     pub(crate) fn name_hash(self) -> u64 {
         self.0 & NAME_MASK
     }
 }
 
-/// The number of a quota request. The gateway that sends it never uses it twice.
+/// Id of a quota request, unique among the requests of the gateway that sends it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub(crate) struct QuotaRequestId(pub u64);
 
-/// A granted quota request, identified in the whole fleet. Where the plan limits concurrency, it is a permit
-/// as well.
+/// Fleet-wide id of a granted quota request. If the plan limits concurrency, it also identifies the permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PermitId {
     pub gateway: GatewayId,
     pub request: QuotaRequestId,
 }
 
-/// A gateway asks the owner of a tenant's quota to admit a request.
+/// A gateway's request to the owner of a quota to admit a client request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QuotaRequest {
     pub gateway: GatewayId,
     pub id: QuotaRequestId,
-    /// The cost; 0 where prefetched tokens already cover it.
+    /// Cost of the client request; 0 if prefetched tokens already cover it.
     pub cost: Tokens,
     /// Tokens to lease in advance, for later requests.
     pub prefetch: Tokens,
-    /// The demand at the gateway since the last quota request that it sent.
+    /// Demand at the gateway since its last quota request for this account.
     pub demand: Tokens,
-    /// Whether it needs one of the permits that all gateways of the shard share.
+    /// Whether the request needs a permit from the pool that the gateways of the shard share.
     pub needs_permit: bool,
-    /// Until when it may wait for a permit.
+    /// When the request stops waiting for a permit.
     pub expires_at: Timestamp,
 }
 
 impl QuotaRequest {
-    /// The identity under which the owner remembers it.
+    /// Returns the id under which the owner remembers the request.
     pub(crate) fn permit_id(&self) -> PermitId {
         PermitId {
             gateway: self.gateway,
@@ -69,33 +68,31 @@
     }
 }
 
-/// The owner's decision on a quota request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum QuotaDecision {
-    /// The request is to be rejected.
+    /// The gateway must reject the client request.
     Denied,
-    /// The request may be forwarded.
+    /// The gateway may forward the client request.
     Granted {
-        /// The tokens that are granted, those leased in advance among them; 0 where the request was granted
-        /// before.
+        /// The granted tokens, including the prefetch; 0 in the response to a retransmitted request that was
+        /// already granted.
         cost: Tokens,
     },
-    /// The request waits for a permit.
+    /// The request is queued for a permit.
     Queued,
 }
 
-/// The state of the owner's account, which goes with each of its responses.
+/// State of the account at its owner, sent with each response.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct OwnerState {
-    /// The rate at which all gateways together were asked for tokens.
+    /// Rate at which all gateways together requested tokens.
     pub demand: TokensPerSecond,
-    /// The rate at which the owner granted tokens.
+    /// Rate at which the owner granted tokens.
     pub granted: TokensPerSecond,
-    /// The tokens in the bucket; negative while it is overdrawn.
+    /// Level of the token bucket; negative if it is overdrawn.
     pub tokens: Tokens,
 }
 
-/// The owner's response to a quota request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QuotaResponse {
     pub request: QuotaRequestId,
@@ -103,37 +100,37 @@
     pub state: OwnerState,
 }
 
-/// A message about one tenant.
+/// A message about the account of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipMessage {
-    /// To the owner: a quota request.
+    /// To the owner: asks for tokens or a permit.
     RequestQuota {
         plan: PlanIndex,
         request: QuotaRequest,
     },
-    /// To the owner: tokens to charge, or to return where negative, and a permit to release.
+    /// To the owner: charges tokens (returns them if negative) and releases the permit, if any.
     SettleUsage {
         plan: PlanIndex,
         cost: Tokens,
         permit: Option<QuotaRequestId>,
     },
-    /// To the owner: tokens used while it did not respond, and the last request that used any.
+    /// To the owner: tokens used while it did not respond, with the id of the last request that used some.
     ReportUnconfirmedUsage {
         plan: PlanIndex,
         last_request: QuotaRequestId,
         cost: Tokens,
     },
-    /// To the owner: the permit is still in use.
+    /// To the owner: extends the lease of a permit that is still in use.
     RenewPermit {
         plan: PlanIndex,
         permit: QuotaRequestId,
     },
-    /// From the owner: its decision on a request.
+    /// From the owner: its decision on a quota request.
     QuotaResponse(QuotaResponse),
 }
 
 impl GossipMessage {
-    /// The plan of a message to the owner; `None` for the owner's response.
+    /// Returns the plan of a message to the owner, or `None` for the owner's response.
     pub(crate) fn plan(&self) -> Option<PlanIndex> {
         match *self {
             GossipMessage::RequestQuota { plan, .. }
--- a/src/decisions/gossip/mod.rs
+++ b/src/decisions/gossip/mod.rs
@@ -1,8 +1,8 @@
-//! Gossip between gateways: the messages, their text form, and the outbox that paces the datagrams.
+//! Gossip between gateways: message types, text encoding, and an outbox that paces datagrams.
 //!
-//! A datagram holds one or more items, each ended by `;`. An item is a kind of one letter and fields
-//! separated by commas, the tenant's key first. Gateways of different versions run side by side, so the text
-//! must not change.
+//! A datagram holds one or more items, each terminated by `;`. An item consists of a one-letter message kind
+//! and comma-separated fields, of which the tenant key is the first. Gateways of different versions run side
+//! by side, so the encoding must not change.
 
 mod codec;
 mod messages;
--- a/src/decisions/gossip/outbox.rs
+++ b/src/decisions/gossip/outbox.rs
@@ -1,8 +1,7 @@
-//! Gossip that waits to be sent: one datagram for each peer, filled until it is due, and sent at a limited
-//! rate.
+//! Batching and pacing of outgoing gossip.
 //!
-//! A peer drops what exceeds its intake, so the outbox paces the datagrams of this gateway to a fraction of
-//! it.
+//! The outbox collects messages in one datagram per peer until the datagram is due. Peers drop datagrams
+//! above their receive rate limit, so each gateway sends at only a fraction of that rate.
 
 use super::codec::encode;
 use super::{GossipMessage, TenantKey};
@@ -12,33 +11,32 @@
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
-/// The fraction of a peer's intake that the datagrams of one gateway may use in a small fleet.
-const INTAKE_FRACTION: f64 = 0.75;
-/// A gateway of a large fleet may send this many times as much, since its datagrams go to that many more
-/// peers.
-const LARGE_FLEET_INTAKE_MULTIPLE: f64 = 4.0;
-/// The datagrams that may be sent at once are those of this time at the permitted rate.
+/// Fraction of a peer's receive rate limit that one gateway may use in a small fleet.
+const PEER_RATE_FRACTION: f64 = 0.75;
+/// In a large fleet, the send rate is raised by up to this factor, because the datagrams of each gateway go
+/// to proportionally more peers.
+const LARGE_FLEET_RATE_MULTIPLE: f64 = 4.0;
+/// Burst size of the rate limit, as seconds of the permitted rate.
 const BURST_SECONDS: f64 = 0.1;
-/// The greatest length of a datagram, in bytes. Peers drop longer ones.
+/// Maximum length of a datagram. Peers drop longer ones.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// The shortest delay of the timer, and the least time by which a timer that is set is moved to an earlier
-/// one.
+/// Minimum delay of the timer. A pending timer is only moved forward if that gains more than this.
 const TIMER_RESOLUTION: Milliseconds = Milliseconds(1.0);
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// A datagram that is ready to be sent.
 pub(crate) struct Datagram {
     pub to: GatewayId,
     pub text: String,
 }
 
-/// The datagrams that wait, at most one for each peer, and the rate limit on them.
+/// Pending datagrams, at most one per peer, and their rate limit.
 pub(crate) struct GossipOutbox {
     datagrams_per_second: f64,
     batches: BTreeMap<GatewayId, Batch>,
-    /// The peer at which the search for a due datagram begins, so that all peers take turns.
+    /// Peer at which the next search for a due datagram starts, so that peers are served round-robin.
     next_peer: GatewayId,
-    /// Datagrams that may be sent as of `allowance_at`. Full ones cannot wait, and may make it negative.
+    /// Number of datagrams that may be sent as of `allowance_at`. Full datagrams are sent without waiting and
+    /// may make it negative.
     allowance: f64,
     allowance_at: Timestamp,
     timer_at: Option<Timestamp>,
@@ -56,13 +54,13 @@
 }
 
 impl GossipOutbox {
-    /// An empty outbox. Nothing may be sent before time has passed, since an earlier incarnation of this
-    /// gateway may have used the allowance up.
+    /// Creates an empty outbox. The allowance starts at 0, because an earlier incarnation of this gateway may
+    /// have used it up.
     pub(crate) fn new(settings: &Settings) -> GossipOutbox {
-        let multiple = 1.0 + (LARGE_FLEET_INTAKE_MULTIPLE - 1.0) * fleet_scale(settings);
-        let intake = settings.gossip_intake_per_second.max(1.0);
+        let rate_multiple = 1.0 + (LARGE_FLEET_RATE_MULTIPLE - 1.0) * fleet_scale(settings);
+        let peer_rate_limit = settings.gossip_intake_per_second.max(1.0);
         GossipOutbox {
-            datagrams_per_second: INTAKE_FRACTION * intake * multiple,
+            datagrams_per_second: PEER_RATE_FRACTION * peer_rate_limit * rate_multiple,
             batches: BTreeMap::new(),
             next_peer: GatewayId(0),
             allowance: 0.0,
@@ -71,8 +69,9 @@
         }
     }
 
-    /// Puts a message into the next datagram to a peer, which is due after `max_delay` at the latest. Returns
-    /// the datagram that the message did not fit into, which is to be sent at once.
+    /// Appends a message to the pending datagram for a peer, which becomes due after at most `max_delay`. If
+    /// the message does not fit, it starts a new datagram, and the full one is returned and must be sent
+    /// immediately.
     pub(crate) fn enqueue(
         &mut self,
         to: GatewayId,
@@ -97,7 +96,7 @@
         Some(Datagram { to, text })
     }
 
-    /// Adds to the allowance what the time up to now permits.
+    /// Adds the allowance accrued since the last call, up to the burst size.
     pub(crate) fn accrue_allowance(&mut self, now: Timestamp) {
         let Milliseconds(elapsed) = now - self.allowance_at;
         let accrued = self.datagrams_per_second * elapsed / MILLISECONDS_PER_SECOND;
@@ -106,7 +105,8 @@
         self.allowance_at = now;
     }
 
-    /// Removes the next datagram that is due and may be sent, if there is one. The peers take turns.
+    /// Removes and returns the next due datagram, if the rate limit permits sending one. Peers are served
+    /// round-robin.
     pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<Datagram> {
         if self.allowance < 1.0 {
             return None;
@@ -123,25 +123,26 @@
         })
     }
 
-    /// The delay of the timer that has to be set for what waits, unless one is set that fires about as early.
+    /// Returns the delay of the timer to set for the next due datagram. Returns `None` if no datagram is
+    /// pending, or if the current timer fires early enough.
     pub(crate) fn next_timer(&mut self, now: Timestamp) -> Option<Milliseconds> {
         let due_in = self.batches.values().map(|batch| batch.due_at - now);
-        let first_due_in = due_in.fold(Milliseconds::INFINITY, Milliseconds::min);
+        let next_due_in = due_in.fold(Milliseconds::INFINITY, Milliseconds::min);
         let missing = 1.0 - self.allowance;
         let allowed_in =
             Milliseconds(MILLISECONDS_PER_SECOND * missing / self.datagrams_per_second);
-        let delay = first_due_in.max(allowed_in).max(TIMER_RESOLUTION);
+        let delay = next_due_in.max(allowed_in).max(TIMER_RESOLUTION);
         let is_earlier = self
             .timer_at
             .is_none_or(|at| now + delay + TIMER_RESOLUTION < at);
-        if !first_due_in.is_finite() || !is_earlier {
+        if !next_due_in.is_finite() || !is_earlier {
             return None;
         }
         self.timer_at = Some(now + delay);
         Some(delay)
     }
 
-    /// Records that the timer has fired.
+    /// Clears the timer so that [`GossipOutbox::next_timer`] can set a new one.
     pub(crate) fn on_timer_fired(&mut self) {
         self.timer_at = None;
     }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -99,7 +99,7 @@
         };
         let id = self.requests.next_id();
         let received = ReceivedRequest::new(request, tier, id, &self.settings, self.context.now);
-        match self.quotas.request(&received, &mut self.context) {
+        match self.quotas.on_request(&received, &mut self.context) {
             LeaseDecision::Reject => self.reject(&received.request),
             LeaseDecision::DecideAsOwner(lease) => self.decide_own_request(received, lease),
             LeaseDecision::UsePrefetched { replenish } => {
@@ -109,7 +109,7 @@
             }
             LeaseDecision::AskOwner { lease, expired } => {
                 self.quotas.ask_owner(&received, lease, &mut self.context);
-                self.settle(Settlement::of_tokens(received.account, -expired));
+                self.settle(Settlement::for_tokens(received.account, -expired));
                 let gossip_enabled = self.settings.gossip_enabled;
                 let pending = PendingRequest::awaiting_owner(received, gossip_enabled);
                 self.requests.wait(pending, &mut self.context);
@@ -235,7 +235,7 @@
         let difference = outcome
             .actual_cost
             .map_or(Tokens::ZERO, |actual| actual - cost);
-        self.settle(Settlement::of_tokens(account, difference));
+        self.settle(Settlement::for_tokens(account, difference));
         let Some(request) = self.requests.in_flight_mut(id) else {
             return;
         };
@@ -283,11 +283,11 @@
     /// owner would leave it unused for a while. Releases it if no request waits.
     fn transfer_permit(&mut self, account: AccountId, permit: QuotaRequestId) {
         let Some(next) = self.requests.remove_oldest(account.tenant) else {
-            return self.settle(Settlement::of_permit(account, permit));
+            return self.settle(Settlement::for_permit(account, permit));
         };
         let received = next.received;
         let cost = received.request.cost;
-        self.settle(Settlement::of_tokens(received.account, cost));
+        self.settle(Settlement::for_tokens(received.account, cost));
         self.admit(received, QuotaGrant::InheritedPermit(permit));
     }
 }
--- a/src/decisions/quota/client/fallback_quota.rs
+++ b/src/decisions/quota/client/fallback_quota.rs
@@ -1,13 +1,13 @@
-//! The fallback quota: what a gateway may use of a tenant's quota while the owner does not respond.
+//! The quota that a gateway may use while the owner does not respond.
 //!
-//! It is called safe capacity in Doorman, where clients use it after their lease has expired.
+//! Doorman calls this safe capacity; its clients use it after their lease has expired.
 
 use crate::decisions::quota::FALLBACK_FRACTION;
 use crate::settings::Plan;
 use crate::token_bucket::{BucketLimits, TokenBucket};
 use crate::units::{Timestamp, Tokens};
 
-/// What one gateway of a shard may use of a tenant's quota and of its hard limit: an even share of each.
+/// One gateway's even share of a tenant's quota and of the part of its hard limit that needs no lease.
 pub(super) struct FallbackQuota {
     quota: TokenBucket,
     hard_limit: TokenBucket,
@@ -15,8 +15,8 @@
 }
 
 impl FallbackQuota {
-    /// A full bucket for the quota. The bucket of the hard limit starts empty, since an earlier incarnation
-    /// of this gateway may have spent it.
+    /// The quota bucket starts with the full burst. The hard-limit bucket starts empty, because an earlier
+    /// incarnation of this gateway may have spent its tokens.
     pub(super) fn new(plan: &Plan, now: Timestamp) -> FallbackQuota {
         FallbackQuota {
             quota: TokenBucket::with_level(plan.burst),
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Refills both buckets up to now. Without gossip there is no owner that leases a part of the hard limit,
-    /// so the gateways divide all of it.
+    /// Refills both buckets up to `now`. Without gossip no owner leases part of the hard limit, so the
+    /// gateways divide all of it.
     pub(super) fn refill(
         &mut self,
         plan: &Plan,
@@ -55,22 +55,19 @@
         self.quota.refill(quota, elapsed);
     }
 
-    /// Whether any tokens of the quota are left.
     pub(super) fn has_quota(&self) -> bool {
         self.quota.level() > Tokens::ZERO
     }
 
-    /// Charges the quota, into debt where it is used up.
+    /// Charges the quota; the bucket may go into debt.
     pub(super) fn charge_quota(&mut self, cost: Tokens) {
         self.quota.take(cost);
     }
 
-    /// Whether the hard limit covers the cost of a request.
     pub(super) fn hard_limit_covers(&self, cost: Tokens) -> bool {
         self.hard_limit.level() >= cost
     }
 
-    /// Charges the hard limit.
     pub(super) fn charge_hard_limit(&mut self, cost: Tokens) {
         self.hard_limit.take(cost);
     }
--- a/src/decisions/quota/client/local_permits.rs
+++ b/src/decisions/quota/client/local_permits.rs
@@ -1,7 +1,7 @@
-//! Concurrency permits that each gateway of a shard has for itself.
+//! Concurrency permits divided among the gateways of a shard.
 
-/// The requests of a tenant in flight at this gateway, and the limit on them. There is a limit where the plan
-/// has enough permits for each gateway of the shard to get at least one of its own.
+/// A tenant's requests in flight at this gateway and the local limit on them. The limit is set only if the
+/// plan has at least one permit per gateway of the shard.
 #[derive(Default)]
 pub(super) struct LocalPermits {
     in_flight: u32,
@@ -9,35 +9,32 @@
 }
 
 impl LocalPermits {
-    /// Divides the permits of a plan (0 for no limit) evenly among the gateways. Returns whether there are
-    /// fewer permits than gateways, so that the gateways have to share them.
-    pub(super) fn divide(&mut self, permits: u32, shard_size: u32) -> bool {
+    /// Divides the plan's permits (0 means no limit) evenly among the gateways. Returns true if there are
+    /// fewer permits than gateways, in which case the gateways share them through the owner.
+    pub(super) fn update_limit(&mut self, permits: u32, shard_size: u32) -> bool {
         let shared = permits > 0 && permits < shard_size;
         self.limit = (permits > 0 && !shared).then(|| permits / shard_size);
         shared
     }
 
-    /// The most requests in flight, if this gateway has permits of its own.
+    /// Returns the local concurrency limit; `None` if there is no limit or the permits are shared.
     pub(super) fn limit(&self) -> Option<u32> {
         self.limit
     }
 
-    /// The number of requests in flight.
     pub(super) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The limit, if it is reached.
-    pub(super) fn used_up(&self) -> Option<u32> {
+    /// Returns the local limit if it is reached.
+    pub(super) fn exhausted_limit(&self) -> Option<u32> {
         self.limit.filter(|limit| self.in_flight >= *limit)
     }
 
-    /// Counts a request that is forwarded.
     pub(super) fn acquire(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Counts a request that has ended.
     pub(super) fn release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/src/decisions/quota/client/mod.rs
+++ b/src/decisions/quota/client/mod.rs
@@ -1,7 +1,7 @@
-//! A gateway as a client of the gateway that owns a tenant's quota.
+//! Client state of a tenant's quota.
 //!
-//! The client decides which requests ask the owner, leases tokens in advance, and falls back on a quota of
-//! its own while the owner does not respond.
+//! The client decides which requests ask the owner, leases tokens in advance, and uses a fallback quota while
+//! the owner does not respond.
 
 mod fallback_quota;
 mod local_permits;
@@ -9,7 +9,7 @@
 mod prefetch;
 mod unconfirmed_usage;
 
-use super::{AccountId, Conditions, DEMAND_WINDOW, KnownTokens, shard_size};
+use super::{AccountId, BucketSnapshot, Conditions, DEMAND_WINDOW, shard_size};
 use crate::decisions::gossip::OwnerState;
 use crate::events::Request;
 use crate::settings::{Plan, Settings};
@@ -22,56 +22,55 @@
 
 pub(super) use unconfirmed_usage::UnconfirmedUsage;
 
-/// The time constant with which the demand in the owner's last state decays.
+/// Time constant with which the last reported demand decays.
 const OWNER_STATE_DECAY: Milliseconds = Milliseconds(2000.0);
 
-/// How a request gets its tokens.
+/// How a request obtains its tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum LeaseDecision {
-    /// It is rejected at once, because the owner is asked for far more than it can grant.
+    /// Reject the request without asking the owner, because demand far exceeds what the owner can grant.
     Reject,
-    /// This gateway owns the quota and decides on the request itself.
+    /// This gateway owns the quota and decides by itself.
     DecideAsOwner(LeaseRequest),
-    /// Prefetched tokens cover it, and it is forwarded without waiting.
+    /// Prefetched tokens cover the cost, so the request can proceed without waiting.
     UsePrefetched {
-        /// What the owner is asked for to replace them.
+        /// Quota request that replaces the used tokens, if one is due.
         replenish: Option<LeaseRequest>,
     },
-    /// It waits for the owner's response.
+    /// Wait for the owner's response.
     AskOwner {
-        /// What the owner is asked for; `None` where gateways exchange no gossip.
+        /// The lease to request; `None` if gossip is disabled.
         lease: Option<LeaseRequest>,
-        /// Prefetched tokens that are too old to be kept, to be returned to the owner.
+        /// Prefetched tokens that have expired and must be returned to the owner.
         expired: Tokens,
     },
 }
 
-/// What the owner is asked for.
+/// Tokens and permit to request from the owner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct LeaseRequest {
-    /// The cost of the request; 0 where prefetched tokens cover it.
+    /// Cost of the request; 0 if prefetched tokens cover it.
     pub cost: Tokens,
-    /// Tokens to lease in advance.
+    /// Tokens to lease in advance, for later requests.
     pub prefetch: Tokens,
-    /// The demand since the owner was last asked.
+    /// Demand since the last quota request to the owner.
     pub demand: Tokens,
-    /// Whether the request needs one of the permits that the gateways of the shard share.
+    /// Whether the request needs a permit from the pool that the gateways of the shard share.
     pub needs_permit: bool,
 }
 
-/// The owner's state as it was last received.
 #[derive(Clone, Copy)]
 struct ReceivedState {
     at: Timestamp,
     state: OwnerState,
 }
 
-/// The quota of one tenant on one plan, as this gateway uses it.
+/// Client state of the quota of one tenant on one plan.
 pub(crate) struct QuotaClient {
     permits: LocalPermits,
     owner_state: Option<ReceivedState>,
     poll_credit: PollCredit,
-    /// The demand at this gateway, in tokens per second, as of the last request.
+    /// Demand at this gateway in tokens per second, updated on each request.
     demand: DecayingValue,
     unreported_demand: Tokens,
     prefetched: PrefetchedTokens,
@@ -79,7 +78,7 @@
 }
 
 impl QuotaClient {
-    /// A quota of which nothing is used yet, with this credit for asking the owner.
+    /// Creates the client state of an unused quota. `poll_credit` is the initial credit for asking the owner.
     pub(super) fn new(plan: &Plan, poll_credit: f64, now: Timestamp) -> QuotaClient {
         QuotaClient {
             permits: LocalPermits::default(),
@@ -92,8 +91,8 @@
         }
     }
 
-    /// Decides how a request that has just arrived gets its tokens.
-    pub(super) fn request(
+    /// Decides how a newly received request obtains its tokens.
+    pub(super) fn on_request(
         &mut self,
         account: AccountId,
         request: &Request,
@@ -104,7 +103,7 @@
         let (cost, gossip_enabled) = (request.cost, settings.gossip_enabled);
         let shard_size = shard_size(request, settings.gateway_count);
         self.fallback.refill(plan, shard_size, gossip_enabled, now);
-        let needs_permit = self.permits.divide(plan.max_concurrency, shard_size);
+        let needs_permit = self.permits.update_limit(plan.max_concurrency, shard_size);
         let sustainable = sustainable_rate(plan, cost, needs_permit, conditions.mean_latency);
         let (demand, granted) = self.reported_rates(now);
         let poll_probability = poll_probability(demand, granted, sustainable, cost);
@@ -115,7 +114,7 @@
         if !self.poll_credit.try_poll(poll_probability, exempt) {
             return LeaseDecision::Reject;
         }
-        // The request stands for those that were rejected without asking the owner.
+        // Scaled up to include the requests that were rejected without asking the owner.
         self.unreported_demand += cost / poll_probability;
         let expired = self.prefetched.take_expired(now);
         if owner_is_local {
@@ -134,12 +133,13 @@
         LeaseDecision::AskOwner { lease, expired }
     }
 
-    /// The owner is asked for the cost of a request and, where that needs no permit, for a prefetch.
+    /// Builds a lease for the cost of a request. A prefetch is added unless the request needs a shared
+    /// permit.
     fn lease_request(&mut self, cost: Tokens, needs_permit: bool, now: Timestamp) -> LeaseRequest {
         let prefetch = if needs_permit {
             Tokens::ZERO
         } else {
-            self.prefetched.request(self.demand(), cost, now)
+            self.prefetched.request_prefetch(self.demand(), cost, now)
         };
         LeaseRequest {
             cost,
@@ -149,8 +149,8 @@
         }
     }
 
-    /// After a request that prefetched tokens cover, the owner is asked for a prefetch alone, if one is
-    /// wanted.
+    /// Builds a lease that only prefetches tokens, after a request was served from prefetched tokens. Returns
+    /// `None` if no prefetch is due.
     fn replenish_request(
         &mut self,
         cost: Tokens,
@@ -160,7 +160,7 @@
         if !gossip_enabled {
             return None;
         }
-        let prefetch = self.prefetched.request(self.demand(), cost, now);
+        let prefetch = self.prefetched.request_prefetch(self.demand(), cost, now);
         (prefetch > Tokens::ZERO).then(|| LeaseRequest {
             cost: Tokens::ZERO,
             prefetch,
@@ -169,8 +169,8 @@
         })
     }
 
-    /// The rates of demand and of grants that the owner reported. The demand decays since, as the traffic may
-    /// have ended.
+    /// Returns the demand and the grant rate last reported by the owner. The demand decays since the report,
+    /// because the traffic may have stopped.
     fn reported_rates(&self, now: Timestamp) -> (TokensPerSecond, TokensPerSecond) {
         let Some(ReceivedState { at, state }) = self.owner_state else {
             return (TokensPerSecond::ZERO, TokensPerSecond::ZERO);
@@ -179,8 +179,9 @@
         (state.demand * decay, state.granted)
     }
 
-    /// Decides whether a request is forwarded although the owner has not responded: in the proportion that
-    /// the owner granted last, or else within the fallback quota; and within an even part of the plan's
+    /// Decides whether to forward a request although the owner has not responded. The request is forwarded
+    /// with the last reported ratio of grants to demand or, if there was no report, within the fallback
+    /// quota. In both cases the requests in flight must be within this gateway's even share of the plan's
     /// permits. `draw` is a random number between 0 and 1.
     pub(super) fn admits_unconfirmed(&mut self, request: &Request, plan: &Plan, draw: f64) -> bool {
         let within_quota = match self.owner_state {
@@ -194,53 +195,48 @@
         within_quota && (permits <= 0.0 || in_flight < permits.max(1.0))
     }
 
-    /// Keeps tokens that were granted and not used for later requests, if these are likely to use them.
-    /// Returns whether it did.
+    /// Keeps unused granted tokens if later requests are likely to use them. Returns whether they were kept.
     pub(super) fn keep_unused(&mut self, unused: Tokens, now: Timestamp) -> bool {
         self.prefetched.keep(unused, self.demand(), now)
     }
 
-    /// Whether this gateway's part of the hard limit covers the cost of a request.
     pub(super) fn hard_limit_covers(&self, cost: Tokens) -> bool {
         self.fallback.hard_limit_covers(cost)
     }
 
-    /// Counts a request that is forwarded, and charges `hard_limit_cost` to this gateway's part of the hard
+    /// Counts a forwarded request as in flight and charges `hard_limit_cost` to the local share of the hard
     /// limit.
     pub(super) fn start_request(&mut self, hard_limit_cost: Tokens) {
         self.fallback.charge_hard_limit(hard_limit_cost);
         self.permits.acquire();
     }
 
-    /// Counts a request that has ended.
     pub(super) fn end_request(&mut self) {
         self.permits.release();
     }
 
-    /// Whether any request of the tenant is in flight here.
-    pub(super) fn is_in_use(&self) -> bool {
+    pub(super) fn has_requests_in_flight(&self) -> bool {
         self.permits.in_flight() > 0
     }
 
-    /// The most requests in flight, if this gateway has permits of its own.
+    /// Returns the local concurrency limit; `None` if there is no limit or the permits are shared.
     pub(super) fn local_permit_limit(&self) -> Option<u32> {
         self.permits.limit()
     }
 
-    /// The number of permits of this gateway's own, if it has any and all are in use.
-    pub(super) fn used_up_permits(&self) -> Option<u32> {
-        self.permits.used_up()
+    /// Returns the local concurrency limit if it is reached.
+    pub(super) fn exhausted_local_permits(&self) -> Option<u32> {
+        self.permits.exhausted_limit()
     }
 
-    /// Records the state that came with a response of the owner.
     pub(super) fn set_owner_state(&mut self, state: OwnerState, now: Timestamp) {
         self.owner_state = Some(ReceivedState { at: now, state });
     }
 
-    /// The tokens in the owner's bucket as it last reported them, and when that was.
-    pub(super) fn reported_tokens(&self) -> Option<KnownTokens> {
+    /// Returns the owner's last reported bucket level and the time of the report.
+    pub(super) fn reported_bucket(&self) -> Option<BucketSnapshot> {
         self.owner_state
-            .map(|ReceivedState { at, state }| KnownTokens {
+            .map(|ReceivedState { at, state }| BucketSnapshot {
                 tokens: state.tokens,
                 as_of: at,
             })
--- a/src/decisions/quota/client/polling.rs
+++ b/src/decisions/quota/client/polling.rs
@@ -1,20 +1,20 @@
-//! How often a gateway asks the owner of a quota that is asked for more than it can grant.
+//! Limits how often a gateway asks the owner of an overloaded quota.
 //!
-//! Adaptive throttling ("Handling Overload" in the SRE book), with the demand and the grants that the owner
-//! reported in place of requests and accepts: a request that the owner would deny anyway is rejected at once.
+//! This is adaptive throttling ("Handling Overload" in the SRE book), with the reported demand and grants in
+//! place of requests and accepts: requests that the owner would probably deny are rejected locally.
 
 use crate::settings::Plan;
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
-/// The owner is asked for at most this multiple of what it granted, or can grant. Further requests are
-/// rejected without asking it.
+/// The owner is asked for at most this multiple of what it granted or can sustain. Requests beyond that are
+/// rejected locally.
 const POLL_HEADROOM: f64 = 1.5;
-/// Requests are expected to hold a permit at least this long.
+/// Lower bound of the expected time for which a request holds a permit.
 const MIN_PERMIT_DURATION: Milliseconds = Milliseconds(1.0);
 
-/// The probability with which a request asks the owner, given the rates that the owner reported. What the
-/// quota can sustain is asked for in any case, since otherwise the grants, which follow the requests, would
-/// sink further and further.
+/// Returns the probability with which a request asks the owner, given the rates that the owner reported. The
+/// sustainable rate is always asked for. Otherwise grants would keep shrinking, because the owner only grants
+/// what it is asked for.
 pub(super) fn poll_probability(
     demand: TokensPerSecond,
     granted: TokensPerSecond,
@@ -25,7 +25,8 @@
     1.0 - (excess.as_f64() / (demand.as_f64() + cost.as_f64())).max(0.0)
 }
 
-/// The rate that the quota can sustain, and the permits too where the gateways share them.
+/// Returns the token rate that the quota can sustain. If requests need shared permits, the permits limit the
+/// rate too.
 pub(super) fn sustainable_rate(
     plan: &Plan,
     cost: Tokens,
@@ -44,24 +45,24 @@
     refill_rate.min(tokens_in_flight.per(mean_latency.max(MIN_PERMIT_DURATION)))
 }
 
-/// The sum of the poll probabilities of recent requests, from which each poll takes 1. So the fraction of
-/// requests that ask the owner follows the probability without a random draw for each.
+/// Sum of the poll probabilities of recent requests, minus 1 for each poll. Limiting polls by this credit
+/// makes the fraction of requests that ask the owner follow the probability without a random draw per
+/// request.
 pub(super) struct PollCredit(f64);
 
 impl PollCredit {
-    /// A credit of this many polls.
     pub(super) fn new(polls: f64) -> PollCredit {
         PollCredit(polls)
     }
 
-    /// Adds the poll probability of a request. Takes a poll if the credit covers one, or if the request is
-    /// `exempt` from polling and proceeds in any case. Returns whether the request proceeds.
+    /// Adds the poll probability of a request, then takes one poll if the credit covers it or the request is
+    /// `exempt`. Returns whether the request may proceed.
     pub(super) fn try_poll(&mut self, probability: f64, exempt: bool) -> bool {
         self.0 += probability;
         if self.0 < 1.0 && !exempt {
             return false;
         }
-        // No more than another poll is saved up.
+        // Caps the remaining credit at one poll.
         self.0 = (self.0 - 1.0).clamp(0.0, 1.0);
         true
     }
--- a/src/decisions/quota/client/prefetch.rs
+++ b/src/decisions/quota/client/prefetch.rs
@@ -1,23 +1,22 @@
-//! Tokens that a gateway leases in advance, so that most requests need not wait for the owner of the quota.
+//! Tokens leased in advance, so that most requests do not wait for the quota owner.
 
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
-/// Tokens for the demand of this duration are leased in advance. Older ones are returned: kept by all
-/// gateways, they would add up to more than a hard limit.
+/// Tokens are leased in advance for the demand of this duration, and are returned when they are older. If
+/// gateways kept them longer, the tokens held by all gateways could add up to more than a hard limit.
 const PREFETCH_HORIZON: Milliseconds = Milliseconds(400.0);
-/// After a request for a prefetch there is no further one for this duration, in which the owner responds.
-const PREFETCH_PAUSE: Milliseconds = Milliseconds(100.0);
-/// Tokens that were granted and not used are kept if they are at most the demand of this duration.
-const KEPT_DEMAND_HORIZON: Milliseconds = Milliseconds(800.0);
+/// Minimum time between prefetch requests, which gives the owner time to respond.
+const PREFETCH_MIN_INTERVAL: Milliseconds = Milliseconds(100.0);
+/// Unused granted tokens are kept only if they do not exceed the demand of this duration.
+const RETENTION_HORIZON: Milliseconds = Milliseconds(800.0);
 
-/// Tokens of one tenant that were leased in advance and are not used yet.
+/// Prefetched tokens of one tenant that have not been used yet.
 pub(super) struct PrefetchedTokens {
     tokens: Tokens,
     requested_at: Timestamp,
 }
 
 impl PrefetchedTokens {
-    /// No tokens, and none requested yet.
     pub(super) fn new() -> PrefetchedTokens {
         PrefetchedTokens {
             tokens: Tokens::ZERO,
@@ -25,8 +24,7 @@
         }
     }
 
-    /// Takes the cost of a request, if there are enough tokens that are recent enough. Returns whether it
-    /// did.
+    /// Takes `cost` if enough tokens are left and they have not expired. Returns whether it did.
     pub(super) fn try_take(&mut self, cost: Tokens, now: Timestamp) -> bool {
         let covers = self.is_fresh(now) && self.tokens >= cost;
         if covers {
@@ -35,7 +33,7 @@
         covers
     }
 
-    /// Takes the tokens that are too old to be kept.
+    /// Removes the tokens and returns them if they have expired.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Tokens {
         if self.is_fresh(now) {
             Tokens::ZERO
@@ -44,25 +42,26 @@
         }
     }
 
-    /// The tokens to lease in advance at this demand, which count as requested now: none where they are less
-    /// than the cost of a request, or where some were requested just now.
-    pub(super) fn request(
+    /// Returns the number of tokens to prefetch at this demand, and records the request. Returns 0 if the
+    /// shortfall is less than the cost of a request or the last prefetch was requested within
+    /// [`PREFETCH_MIN_INTERVAL`].
+    pub(super) fn request_prefetch(
         &mut self,
         demand: TokensPerSecond,
         cost: Tokens,
         now: Timestamp,
     ) -> Tokens {
         let missing = demand.over(PREFETCH_HORIZON) - self.tokens;
-        if missing < cost || missing <= Tokens::ZERO || self.age(now) < PREFETCH_PAUSE {
+        if missing < cost || missing <= Tokens::ZERO || self.age(now) < PREFETCH_MIN_INTERVAL {
             return Tokens::ZERO;
         }
         self.requested_at = now;
         missing
     }
 
-    /// Keeps unused tokens for later requests, if these are likely to use them. Returns whether it did.
+    /// Keeps unused tokens if later requests are likely to use them. Returns whether they were kept.
     pub(super) fn keep(&mut self, unused: Tokens, demand: TokensPerSecond, now: Timestamp) -> bool {
-        let usable = demand.over(KEPT_DEMAND_HORIZON);
+        let usable = demand.over(RETENTION_HORIZON);
         let keeps = self.is_fresh(now) && usable >= unused + self.tokens;
         if keeps {
             self.tokens += unused;
--- a/src/decisions/quota/client/unconfirmed_usage.rs
+++ b/src/decisions/quota/client/unconfirmed_usage.rs
@@ -1,11 +1,11 @@
-//! Usage of requests that were forwarded while the owner of their quota did not respond.
+//! Usage of requests forwarded while the quota owner did not respond.
 
 use crate::decisions::account::AccountId;
 use crate::decisions::gossip::{GossipMessage, QuotaRequestId, TenantKey};
 use crate::units::Tokens;
 use std::collections::BTreeMap;
 
-/// For each tenant, the usage that has not been reported to its owner yet.
+/// Usage per tenant that has not been reported to the owner yet.
 #[derive(Default)]
 pub(crate) struct UnconfirmedUsage {
     by_tenant: BTreeMap<TenantKey, Usage>,
@@ -18,7 +18,6 @@
 }
 
 impl UnconfirmedUsage {
-    /// Adds the cost of a request.
     pub(crate) fn add(&mut self, account: AccountId, request: QuotaRequestId, cost: Tokens) {
         let usage = self.by_tenant.entry(account.tenant).or_insert(Usage {
             account,
@@ -29,7 +28,7 @@
         usage.cost += cost;
     }
 
-    /// Removes all usage. Returns a report for each tenant, in the order of their keys.
+    /// Removes all usage and returns one report per tenant, ordered by tenant key.
     pub(crate) fn take_reports(
         &mut self,
     ) -> impl Iterator<Item = (AccountId, GossipMessage)> + use<> {
@@ -38,7 +37,7 @@
             .map(|usage| (usage.account, usage.report()))
     }
 
-    /// Drops the usage of all other tenants.
+    /// Drops the usage of tenants for which `is_known` returns false.
     pub(crate) fn retain(&mut self, is_known: impl Fn(TenantKey) -> bool) {
         self.by_tenant.retain(|tenant, _| is_known(*tenant));
     }
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -1,8 +1,9 @@
-//! The accounts that this gateway uses: its requests need tokens and permits of their owners.
+//! Client-side operations of [`Quotas`]: obtaining tokens and permits from the owning gateways for requests
+//! received here.
 
 use super::owner::QueuedDecision;
 use super::{
-    LeaseDecision, LeaseRequest, QuotaClient, Quotas, Settlement, Unused, schedule_renewal,
+    LeaseDecision, LeaseRequest, QuotaClient, Quotas, Settlement, UnusedGrant, schedule_renewal,
 };
 use crate::decisions::account::AccountId;
 use crate::decisions::context::EventContext;
@@ -13,37 +14,34 @@
 use crate::events::{GatewayId, Request};
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
-/// The outcome of [`Quotas::check_locally`].
+/// Result of [`Quotas::check_locally`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum LocalCheck {
-    /// All permits of this gateway's own are in use.
-    NoFreePermit {
-        /// The number of these permits.
-        permits: u32,
-    },
-    /// This gateway's part of the hard limit does not cover the request.
+    /// All of this gateway's local permits are in use.
+    NoFreePermit { permits: u32 },
+    /// The local share of the hard limit does not cover the cost of the request.
     OverHardLimit,
     /// The request may be forwarded.
     Passed {
-        /// The tokens to charge to this gateway's part of the hard limit.
+        /// Tokens to charge to the local share of the hard limit.
         hard_limit_cost: Tokens,
     },
 }
 
-/// The permit of a request that has ended.
+/// The permit that a finished request frees for the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FreedPermit {
-    /// The request had none that another one could use.
+    /// No reusable permit: the plan has no concurrency limit, or the request was forwarded without a permit.
     None,
-    /// One of this gateway's own.
+    /// A local permit, from this gateway's own share.
     Local,
-    /// One that the gateways of the shard share, leased under this number.
+    /// A permit shared by the gateways of the shard and leased under this request id.
     Shared(QuotaRequestId),
 }
 
 impl Quotas {
-    /// Decides how a request that has just arrived gets its tokens.
-    pub(crate) fn request(
+    /// Decides how a newly received request obtains its tokens.
+    pub(crate) fn on_request(
         &mut self,
         received: &ReceivedRequest,
         context: &mut EventContext,
@@ -53,10 +51,10 @@
         let conditions = context.conditions();
         tenant
             .client
-            .request(account, request, &self.settings, conditions)
+            .on_request(account, request, &self.settings, conditions)
     }
 
-    /// Asks the owner for what a request and those to come need. `None` asks for nothing.
+    /// Sends a quota request to the owner. Does nothing if `lease` is `None`.
     pub(crate) fn ask_owner(
         &self,
         received: &ReceivedRequest,
@@ -71,8 +69,8 @@
         context.send_to_owner(received.account, &message, Milliseconds::ZERO);
     }
 
-    /// Asks the owner again, since the first message or the response to it may have been lost. The owner
-    /// charges the request once.
+    /// Resends the quota request, in case the first message or its response was lost. The owner charges the
+    /// request only once.
     pub(crate) fn ask_owner_again(&self, received: &ReceivedRequest, context: &mut EventContext) {
         let lease = LeaseRequest {
             cost: received.request.cost,
@@ -83,7 +81,6 @@
         self.ask_owner(received, Some(lease), context);
     }
 
-    /// The quota request of a request that needs this lease.
     pub(crate) fn quota_request(
         &self,
         received: &ReceivedRequest,
@@ -100,15 +97,16 @@
         }
     }
 
-    /// Records the owner's state that came with a response.
+    /// Stores the owner state reported in a response, if the tenant is still known.
     pub(crate) fn set_owner_state(&mut self, tenant: TenantKey, state: OwnerState, now: Timestamp) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.client.set_owner_state(state, now);
         }
     }
 
-    /// Decides whether a request is forwarded although its owner has not responded, given a random number
-    /// between 0 and 1. Its cost is recorded, and reported to the owner when gossip arrives again.
+    /// Decides whether to forward a request whose owner has not responded; `draw` is a random number between
+    /// 0 and 1. If the request is forwarded, its cost is recorded and reported to the owner once gossip gets
+    /// through again.
     pub(crate) fn admit_unconfirmed(&mut self, received: &ReceivedRequest, draw: f64) -> bool {
         let (account, request) = (received.account, &received.request);
         let plan = self.settings.plan(account.plan);
@@ -126,15 +124,15 @@
         true
     }
 
-    /// Reports to the owners the usage of requests that were forwarded without their response.
+    /// Reports usage of requests forwarded without a response to the owners of their quotas.
     pub(crate) fn report_unconfirmed_usage(&mut self, context: &mut EventContext) {
         for (account, report) in self.unconfirmed_usage.take_reports() {
             context.send_to_owner(account, &report, Milliseconds::ZERO);
         }
     }
 
-    /// Settles usage that differs from what the owner granted. Returns the decisions on queued requests that
-    /// follow from it, where this gateway is the owner.
+    /// Settles usage that differs from the grant, locally if this gateway is the owner and by a message
+    /// otherwise. Returns the decisions on queued requests that result when this gateway is the owner.
     pub(crate) fn settle(
         &mut self,
         settlement: &Settlement,
@@ -154,16 +152,16 @@
         Vec::new()
     }
 
-    /// Keeps tokens that were granted and not used for later requests, if it can. Returns what is to be
-    /// settled otherwise.
+    /// Keeps unused granted tokens for later requests if possible. Otherwise returns the settlement that
+    /// gives them, and the permit, back to the owner.
     pub(crate) fn return_unused(
         &mut self,
         key: TenantKey,
         owner: GatewayId,
-        unused: Unused,
+        unused: UnusedGrant,
         now: Timestamp,
     ) -> Option<Settlement> {
-        let Unused { tokens, permit } = unused;
+        let UnusedGrant { tokens, permit } = unused;
         let tenant = self.tenants.get_mut(key)?;
         let shares_permits = tenant.shares_permits(&self.settings);
         let may_keep = !shares_permits && owner != self.settings.gateway;
@@ -182,7 +180,8 @@
         })
     }
 
-    /// Checks a request against what this gateway may do without the owner.
+    /// Checks a request against the limits that this gateway enforces without the owner: its local permits
+    /// and its share of the hard limit.
     pub(crate) fn check_locally(
         &self,
         received: &ReceivedRequest,
@@ -191,7 +190,7 @@
         let account = received.account;
         let tenant = self.tenants.get(account.tenant);
         let client = tenant.map(|tenant| &tenant.client);
-        if let Some(permits) = client.and_then(QuotaClient::used_up_permits) {
+        if let Some(permits) = client.and_then(QuotaClient::exhausted_local_permits) {
             return LocalCheck::NoFreePermit { permits };
         }
         let has_hard_limit =
@@ -210,8 +209,8 @@
         }
     }
 
-    /// Counts a request that is forwarded, charges `hard_limit_cost` to this gateway's part of the hard
-    /// limit, and schedules the first renewal of its permit.
+    /// Counts a forwarded request as in flight, charges `hard_limit_cost` to the local share of the hard
+    /// limit, and schedules the first renewal of the request's permit.
     pub(crate) fn start_request(
         &mut self,
         received: &ReceivedRequest,
@@ -228,7 +227,7 @@
         }
     }
 
-    /// Counts a request that has ended. Returns the permit that it used and that another request may use now.
+    /// Counts a request as finished. Returns the permit that it frees for another request.
     pub(crate) fn end_request(&mut self, account: AccountId, grant: QuotaGrant) -> FreedPermit {
         let tenant = self.tenants.get_mut(account.tenant);
         let has_local_permits = tenant.is_some_and(|tenant| {
@@ -242,8 +241,8 @@
         }
     }
 
-    /// Renews the lease of a permit that this gateway holds, if the gateways of the shard share the permits.
-    /// Returns when it is to be renewed next.
+    /// Renews the lease of a permit held by this gateway and returns the time of the next renewal. Returns
+    /// `None` if the permits are not shared by the gateways of the shard and need no renewal.
     pub(crate) fn renew_permit(
         &mut self,
         account: AccountId,
@@ -265,13 +264,12 @@
         Some(next_renewal)
     }
 
-    /// Whether this gateway has permits of its own for an account.
     pub(crate) fn has_local_permits(&self, account: AccountId) -> bool {
         let tenant = self.tenants.get(account.tenant);
         tenant.is_some_and(|tenant| tenant.client.local_permit_limit().is_some())
     }
 
-    /// Whether the gateways of the account's shard share the permits of its plan.
+    /// Whether the account's plan limits concurrency and the permits are shared by the gateways of its shard.
     fn shares_permits(&self, account: AccountId) -> bool {
         self.limits_concurrency(account) && !self.has_local_permits(account)
     }
@@ -280,14 +278,14 @@
         self.settings.plan(account.plan).max_concurrency > 0
     }
 
-    /// How long the client of a rejected request should wait before it retries; 0 for no advice. It is
-    /// advised only where the tokens that the request needs will not be available within its latency
-    /// objective: for a shorter time the client's own backoff serves better.
+    /// Computes the retry-after delay for a rejected request; 0 means no advice. A delay is only advised if
+    /// the tokens will not be available within the latency objective of the request's class: for shorter
+    /// times the client's own backoff works better.
     pub(crate) fn retry_after(&self, request: &Request, now: Timestamp) -> Milliseconds {
         let key = TenantKey::new(&request.tenant, request.plan);
         let tenant = self.tenants.get(key);
-        let available_in =
-            tenant.and_then(|tenant| tenant.tokens_available_in(request.cost, &self.settings, now));
+        let available_in = tenant
+            .and_then(|tenant| tenant.time_until_available(request.cost, &self.settings, now));
         let class = self.settings.classes.get(request.class.0);
         let objective = class.map_or(Milliseconds::ZERO, |class| class.latency_objective);
         match available_in {
--- a/src/decisions/quota/expiring_map.rs
+++ b/src/decisions/quota/expiring_map.rs
@@ -1,9 +1,9 @@
-//! A map whose entries are dropped when they have not been used for some time.
+//! A map that evicts entries after an idle time.
 
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::BTreeMap;
 
-/// Values by key, each with the time at which it was last touched.
+/// Map in which each entry records when it was last touched.
 pub(super) struct ExpiringMap<K, V> {
     entries: BTreeMap<K, Entry<V>>,
     last_eviction: Timestamp,
@@ -15,7 +15,6 @@
 }
 
 impl<K: Ord, V> ExpiringMap<K, V> {
-    /// An empty map.
     pub(super) fn new() -> ExpiringMap<K, V> {
         ExpiringMap {
             entries: BTreeMap::new(),
@@ -23,29 +22,29 @@
         }
     }
 
-    /// The value, which counts as touched now. If there is none, `make` creates it.
-    pub(super) fn touch(&mut self, key: K, now: Timestamp, make: impl FnOnce() -> V) -> &mut V {
+    /// Returns the value after marking it as touched. Inserts the result of `create` if the key is missing.
+    pub(super) fn touch(&mut self, key: K, now: Timestamp, create: impl FnOnce() -> V) -> &mut V {
         let new_entry = || Entry {
             last_touched: now,
-            value: make(),
+            value: create(),
         };
         let entry = self.entries.entry(key).or_insert_with(new_entry);
         entry.last_touched = now;
         &mut entry.value
     }
 
-    /// The value, without touching it.
+    /// Returns the value without marking it as touched.
     pub(super) fn get(&self, key: &K) -> Option<&V> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// The value for a change, without touching it.
+    /// Returns a mutable reference to the value without marking it as touched.
     pub(super) fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.entries.get_mut(key).map(|entry| &mut entry.value)
     }
 
-    /// Drops the entries that were not touched for `max_idle`, except those in use. Does so at most once in
-    /// `interval`; returns whether it did.
+    /// Evicts entries that have not been touched for `max_idle` and are not in use. Scans at most once per
+    /// `interval`; returns whether it scanned.
     pub(super) fn evict_idle(
         &mut self,
         max_idle: Milliseconds,
--- a/src/decisions/quota/mod.rs
+++ b/src/decisions/quota/mod.rs
@@ -1,9 +1,9 @@
-//! The quotas of tenants, which hold for all gateways together.
+//! Fleet-wide quotas of tenants.
 //!
-//! Each account (a tenant on one plan) has one gateway as its owner. The owner keeps the token bucket and the
-//! permits of the account ([`QuotaOwner`]); each gateway that serves the tenant is a client of it
-//! ([`QuotaClient`]). Both sides may be the same gateway, which then decides without sending a message.
-//! [`Quotas`] holds both sides of all accounts that this gateway knows.
+//! Each account (a tenant on one plan) is owned by one gateway. The owner keeps the token bucket and the
+//! concurrency permits of the account ([`QuotaOwner`]). Every gateway that serves the tenant is a client of
+//! the owner ([`QuotaClient`]). The owner is also a client of itself and decides without sending a message.
+//! [`Quotas`] holds the owner and client state of all accounts that this gateway knows.
 
 mod client;
 mod client_side;
@@ -22,22 +22,22 @@
 use expiring_map::ExpiringMap;
 use owner::QuotaOwner;
 use std::sync::Arc;
-use tenants::{KnownTokens, Tenants};
+use tenants::{BucketSnapshot, Tenants};
 
 pub(crate) use client::{LeaseDecision, LeaseRequest};
 pub(crate) use client_side::{FreedPermit, LocalCheck};
 pub(crate) use owner::QueuedDecision;
 pub(crate) use permit_lease::schedule_renewal;
-pub(crate) use settlement::{Settlement, Unused};
+pub(crate) use settlement::{Settlement, UnusedGrant};
 
-/// The time constant of the demand for a quota: long enough to count tenants with few requests, short enough
-/// to follow tenants whose traffic moves to other gateways.
+/// Time constant of the exponential decay of the measured demand. It is long enough to register tenants with
+/// few requests and short enough to follow traffic that moves to other gateways.
 const DEMAND_WINDOW: Milliseconds = Milliseconds(2000.0);
-/// The fraction of a hard limit that the gateways divide among themselves and use without asking the owner,
-/// which leases the rest.
+/// Fraction of a hard limit that the gateways divide among themselves and use without asking the owner. The
+/// owner leases the rest.
 const FALLBACK_FRACTION: f64 = 0.25;
 
-/// Both sides of the quotas of all tenants that this gateway knows.
+/// Client and owner state of the quotas of all known tenants.
 pub(crate) struct Quotas {
     settings: Arc<Settings>,
     tenants: Tenants,
@@ -45,7 +45,6 @@
 }
 
 impl Quotas {
-    /// No tenants yet.
     pub(crate) fn new(settings: Arc<Settings>) -> Quotas {
         Quotas {
             settings,
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Drops tenants that have been idle for long.
+    /// Drops tenants that have been idle for long, together with their unreported usage.
     pub(crate) fn evict_idle(&mut self, now: Timestamp) {
         if self.tenants.evict_idle(now) {
             let tenants = &self.tenants;
--- a/src/decisions/quota/owner/mod.rs
+++ b/src/decisions/quota/owner/mod.rs
@@ -1,8 +1,8 @@
-//! The owner's side of a tenant's quota: which requests are granted tokens and concurrency permits.
+//! Owner state of a tenant's quota: grants tokens and concurrency permits.
 //!
-//! One gateway of a tenant's shard, selected by the tenant's key, owns the quota. All gateways of the shard,
-//! itself among them, request tokens and permits from it. What they use beyond a grant, or do not use of it,
-//! is settled later.
+//! One gateway of the tenant's shard, selected by the hash of the tenant's name, owns the quota. All gateways
+//! of the shard, including the owner, request tokens and permits from it. Differences between a grant and the
+//! actual usage are settled afterwards.
 
 mod bounded_history;
 mod ledger;
@@ -18,37 +18,35 @@
 use permit_pool::PermitPool;
 use std::collections::VecDeque;
 
-/// The fraction of the largest cost of a request that stays in the bucket, as far as usage beyond the quota
-/// is penalized and as the fleet is large: what its gateways have in flight is not settled yet. In a fleet of
-/// three the reserve costs more than it saves.
+/// Fraction of the maximum request cost that is held back in the bucket for usage that is in flight and not
+/// settled yet. It is scaled by the plan's over-quota penalty and by the size of the fleet: with three
+/// gateways, the reserve costs more than it saves.
 const BUCKET_RESERVE_FRACTION: f64 = 0.3;
-/// The number of granted requests that are remembered, to recognize those that are sent again. That happens
-/// within half a second, in which a tenant at its quota is granted fewer.
+/// Number of recent grants kept to detect retransmitted requests. Retransmissions happen within half a
+/// second, and a tenant at its quota is granted fewer requests than this in that time.
 const REMEMBERED_GRANTS: usize = 16;
-/// A permit that this owner no longer counts is leased again when its holder renews it, as long as fewer than
-/// this many times the limit are leased.
+/// When a holder renews a permit whose lease has already expired here, the permit is leased again only while
+/// fewer than this multiple of the concurrency limit are leased.
 const MAX_RENEWED_PERMIT_MULTIPLE: usize = 4;
-/// The fraction of the remaining tokens that one gateway may prefetch, since other gateways request tokens
-/// too.
+/// Fraction of the remaining tokens that one gateway may prefetch. The rest is left for other gateways.
 const MAX_PREFETCH_FRACTION: f64 = 0.5;
 
-/// The decision on a request that was in the queue.
+/// A decision on a request that was queued for a permit.
 pub(crate) struct QueuedDecision {
     pub request: QuotaRequest,
     pub decision: QuotaDecision,
 }
 
-/// The quota of one tenant on one plan, as its owner keeps it.
+/// Owner state of the quota of one tenant on one plan.
 pub(crate) struct QuotaOwner {
     ledger: TokenLedger,
     permits: PermitPool,
-    /// Requests that wait for a permit, in the order of their arrival.
+    /// Requests that wait for a permit, oldest first.
     queue: VecDeque<QuotaRequest>,
     recent_grants: BoundedHistory<PermitId>,
 }
 
 impl QuotaOwner {
-    /// A quota of which nothing is used yet.
     pub(super) fn new(plan: &Plan, now: Timestamp) -> QuotaOwner {
         QuotaOwner {
             ledger: TokenLedger::new(plan, now),
@@ -58,30 +56,29 @@
         }
     }
 
-    /// The tokens in the bucket as of the last update; negative while it is overdrawn.
+    /// Returns the bucket level as of the last update; negative if the bucket is overdrawn.
     pub(super) fn tokens(&self) -> Tokens {
         self.ledger.tokens()
     }
 
-    /// When the quota was last advanced.
     pub(super) fn updated_at(&self) -> Timestamp {
         self.ledger.updated_at()
     }
 
-    /// The state that goes with each response.
+    /// Returns the state that is sent with each response.
     pub(super) fn state(&self) -> OwnerState {
         self.ledger.state()
     }
 
-    /// Brings the quota up to now: refills the bucket, and drops permits whose lease has ended and requests
-    /// that have waited too long.
+    /// Advances the state to `now`: refills the bucket, and drops permits whose lease has ended and queued
+    /// requests that have expired.
     pub(super) fn advance(&mut self, plan: &Plan, permit_lease: Milliseconds, now: Timestamp) {
         self.ledger.advance(plan, now);
         self.permits.expire(permit_lease, now);
         self.queue.retain(|request| request.expires_at > now);
     }
 
-    /// Decides on a request. The tokens and the permit of a grant are charged at once.
+    /// Decides on a quota request. Granted tokens and permits are charged immediately.
     pub(super) fn decide(
         &mut self,
         request: QuotaRequest,
@@ -90,12 +87,12 @@
         gossip_enabled: bool,
         conditions: Conditions,
     ) -> QuotaDecision {
-        // A request that is sent again because the response was lost has been charged or queued already.
+        // A retransmission after a lost response: the request has already been charged or queued.
         if self.recent_grants.contains(&request.permit_id()) {
             let cost = Tokens::ZERO;
             return QuotaDecision::Granted { cost };
         }
-        if self.has_queued(&request) {
+        if self.is_queued(&request) {
             return QuotaDecision::Queued;
         }
         self.ledger.record_demand(request.demand);
@@ -118,7 +115,7 @@
         QuotaDecision::Granted { cost }
     }
 
-    /// Queues a request for a permit, if one is likely to be free before it expires.
+    /// Queues a request for a permit, or denies it if no permit is likely to become free before it expires.
     fn enqueue(
         &mut self,
         request: QuotaRequest,
@@ -135,8 +132,8 @@
         QuotaDecision::Queued
     }
 
-    /// Leases free permits to the requests in the queue. A request whose tokens have been used up meanwhile
-    /// is denied.
+    /// Leases free permits to queued requests. Denies a queued request if its tokens were used up in the
+    /// meantime.
     pub(super) fn grant_queued(
         &mut self,
         plan: &Plan,
@@ -161,8 +158,8 @@
         decisions
     }
 
-    /// Charges tokens that were used without a grant, or takes unused ones back (`cost` negative), and takes
-    /// back a permit.
+    /// Charges tokens used without a grant, or credits returned tokens if `cost` is negative, and releases
+    /// the permit, if any.
     pub(super) fn settle(&mut self, cost: Tokens, permit: Option<PermitId>, plan: &Plan) {
         self.ledger.settle(cost, plan);
         if let Some(permit) = permit {
@@ -170,15 +167,14 @@
         }
     }
 
-    /// Charges what a gateway used while this owner did not respond, unless the last request of it was
-    /// granted after all.
+    /// Charges usage that a gateway reports after this owner did not respond, unless the last request in the
+    /// report was granted after all.
     pub(super) fn charge_unconfirmed(&mut self, last_request: PermitId, cost: Tokens) {
         if !self.recent_grants.contains(&last_request) {
             self.ledger.charge_unconfirmed(cost);
         }
     }
 
-    /// Renews the lease of a permit.
     pub(super) fn renew_permit(&mut self, permit: PermitId, plan: &Plan, now: Timestamp) {
         let capacity = MAX_RENEWED_PERMIT_MULTIPLE * plan.max_concurrency as usize;
         self.permits.renew(permit, capacity, now);
@@ -193,7 +189,7 @@
             .push(request.permit_id(), REMEMBERED_GRANTS);
     }
 
-    fn has_queued(&self, request: &QuotaRequest) -> bool {
+    fn is_queued(&self, request: &QuotaRequest) -> bool {
         let permit = request.permit_id();
         self.queue.iter().any(|queued| queued.permit_id() == permit)
     }
@@ -203,9 +199,9 @@
     }
 }
 
-/// The tokens that stay in the bucket of a plan beside the cost of a request, unless the bucket is full.
+/// Returns the tokens that must remain in the bucket after a grant, unless the bucket is full.
 pub(super) fn bucket_reserve(settings: &Settings, plan: &Plan) -> Tokens {
-    let largest_fraction = BUCKET_RESERVE_FRACTION * fleet_scale(settings);
+    let reserve_fraction = BUCKET_RESERVE_FRACTION * fleet_scale(settings);
     let penalty = plan.over_quota_penalty.min(1.0);
-    settings.max_request_cost * largest_fraction * penalty
+    settings.max_request_cost * reserve_fraction * penalty
 }
--- a/src/decisions/quota/owner_side.rs
+++ b/src/decisions/quota/owner_side.rs
@@ -1,4 +1,5 @@
-//! The accounts that this gateway owns: it decides on the requests of all gateways of the shard.
+//! Owner-side operations of [`Quotas`]: decisions on the quota requests of all gateways of a shard, for
+//! accounts that this gateway owns.
 
 use super::Quotas;
 use super::owner::{QueuedDecision, bucket_reserve};
@@ -11,8 +12,9 @@
 use crate::units::{Milliseconds, Timestamp, Tokens};
 
 impl Quotas {
-    /// Brings an account up to now, and grants free permits to the requests in its queue. A permit whose
-    /// release was lost becomes free when its lease ends, which nothing else announces.
+    /// Refills the account up to the current time and grants free permits to queued requests. This check is
+    /// needed because no message reports the expiry of a lease, and a permit whose release message was lost
+    /// only becomes free when its lease expires.
     pub(crate) fn grant_queued(
         &mut self,
         account: AccountId,
@@ -21,11 +23,12 @@
         let plan = self.settings.plan(account.plan);
         let reserve = bucket_reserve(&self.settings, plan);
         self.tenants
-            .advanced_owner(account, &self.settings, context)
+            .advance_owner(account, &self.settings, context)
             .grant_queued(plan, reserve, context.now)
     }
 
-    /// Decides on a quota request. The account was brought up to now by [`Quotas::grant_queued`].
+    /// Decides on a quota request. The caller must have called [`Quotas::grant_queued`] for the account
+    /// during the same event.
     pub(crate) fn decide(
         &mut self,
         account: AccountId,
@@ -44,7 +47,7 @@
             .decide(request, plan, reserve, gossip_enabled, conditions)
     }
 
-    /// Sends a decision to the gateway that asked for it, which is another one.
+    /// Sends a decision to the gateway that made the request, which must not be this gateway.
     pub(crate) fn send_decision(
         &self,
         account: AccountId,
@@ -64,8 +67,8 @@
         context.send(request.gateway, account.tenant, &response, max_delay);
     }
 
-    /// Handles a message of another gateway about its use of an account. Returns the decisions on queued
-    /// requests that follow from it.
+    /// Handles a message in which another gateway settles usage, reports unconfirmed usage or renews a
+    /// permit. Returns the resulting decisions on queued requests.
     pub(crate) fn on_usage_message(
         &mut self,
         account: AccountId,
@@ -85,11 +88,10 @@
                 last_request, cost, ..
             } => self
                 .tenants
-                .advanced_owner(account, &self.settings, context)
+                .advance_owner(account, &self.settings, context)
                 .charge_unconfirmed(permit_of(last_request), cost),
             GossipMessage::RenewPermit { permit, .. } => {
-                self.tenants
-                    .advanced_owner(account, &self.settings, context);
+                self.tenants.advance_owner(account, &self.settings, context);
                 self.renew_as_owner(account, permit_of(permit), context.now);
             }
             GossipMessage::RequestQuota { .. } | GossipMessage::QuotaResponse(_) => {}
@@ -97,8 +99,8 @@
         Vec::new()
     }
 
-    /// Charges or takes back what a gateway settles, and grants the permits that are free to the requests in
-    /// the queue.
+    /// Applies a settlement to an account that this gateway owns, then grants free permits to queued
+    /// requests.
     pub(super) fn settle_as_owner(
         &mut self,
         account: AccountId,
@@ -108,14 +110,11 @@
     ) -> Vec<QueuedDecision> {
         let plan = self.settings.plan(account.plan);
         let reserve = bucket_reserve(&self.settings, plan);
-        let owner = self
-            .tenants
-            .advanced_owner(account, &self.settings, context);
+        let owner = self.tenants.advance_owner(account, &self.settings, context);
         owner.settle(cost, permit, plan);
         owner.grant_queued(plan, reserve, context.now)
     }
 
-    /// Renews the lease of a permit.
     pub(super) fn renew_as_owner(&mut self, account: AccountId, permit: PermitId, now: Timestamp) {
         if let Some(tenant) = self.tenants.get_mut(account.tenant) {
             let plan = self.settings.plan(tenant.plan);
--- a/src/decisions/quota/settlement.rs
+++ b/src/decisions/quota/settlement.rs
@@ -1,31 +1,30 @@
-//! The settlement of usage that differs from what the owner of a quota granted.
+//! Settlement of usage that differs from the grant of the quota owner.
 
 use crate::decisions::account::AccountId;
 use crate::decisions::gossip::{GossipMessage, QuotaRequestId};
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
-/// A settlement without a permit may wait this long for a datagram that is sent anyway.
+/// Maximum delay of a settlement without a permit, so that it can share a datagram with other messages.
 const MAX_DELAY: Milliseconds = Milliseconds(1000.0);
 
-/// What was granted to a request and is not used by it.
+/// The part of a grant that its request did not use.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Unused {
+pub(crate) struct UnusedGrant {
     pub tokens: Tokens,
     pub permit: Option<QuotaRequestId>,
 }
 
-impl Unused {
-    /// Unused tokens without a permit.
-    pub(crate) fn tokens(tokens: Tokens) -> Unused {
-        Unused {
+impl UnusedGrant {
+    pub(crate) fn without_permit(tokens: Tokens) -> UnusedGrant {
+        UnusedGrant {
             tokens,
             permit: None,
         }
     }
 }
 
-/// Tokens to charge, or to return where negative, and a permit to release.
+/// Tokens to charge (to return if negative) and an optional permit to release.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Settlement {
     pub account: AccountId,
@@ -34,8 +33,7 @@
 }
 
 impl Settlement {
-    /// A settlement of tokens only.
-    pub(crate) fn of_tokens(account: AccountId, cost: Tokens) -> Settlement {
+    pub(crate) fn for_tokens(account: AccountId, cost: Tokens) -> Settlement {
         Settlement {
             account,
             cost,
@@ -43,8 +41,7 @@
         }
     }
 
-    /// The release of a permit.
-    pub(crate) fn of_permit(account: AccountId, permit: QuotaRequestId) -> Settlement {
+    pub(crate) fn for_permit(account: AccountId, permit: QuotaRequestId) -> Settlement {
         Settlement {
             account,
             cost: Tokens::ZERO,
@@ -52,7 +49,7 @@
         }
     }
 
-    /// How long the message to the owner may wait for a datagram; `None` if no message is needed.
+    /// Returns the maximum delay of the message to the owner, or `None` if no message is needed.
     pub(crate) fn max_delay(&self, settings: &Settings) -> Option<Milliseconds> {
         let has_quota = settings.plan(self.account.plan).refill_rate > TokensPerSecond::ZERO;
         if self.permit.is_some() {
@@ -64,7 +61,6 @@
         }
     }
 
-    /// The message to the owner.
     pub(crate) fn message(&self) -> GossipMessage {
         GossipMessage::SettleUsage {
             plan: self.account.plan,
--- a/src/decisions/quota/tenants.rs
+++ b/src/decisions/quota/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants that a gateway knows.
+//! Per-tenant quota state, evicted when idle.
 
 use super::permit_lease::permit_lease;
 use super::{ExpiringMap, QuotaClient, QuotaOwner};
@@ -10,12 +10,12 @@
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 use rand::Rng;
 
-/// Tenants that have been idle for this long are dropped: by then every bucket is full again.
+/// Tenants idle for this long are evicted. By then their buckets are full again, so no state is lost.
 const MAX_IDLE: Milliseconds = Milliseconds(60_000.0);
-/// The time between two searches for idle tenants.
+/// Minimum time between two scans for idle tenants.
 const EVICTION_INTERVAL: Milliseconds = Milliseconds(6_000.0);
 
-/// A tenant on one plan. The client's side is used for its requests at this gateway, and the owner's side if
+/// Quota state of a tenant on one plan: the client state for requests received here, and the owner state if
 /// this gateway owns the quota.
 pub(super) struct Tenant {
     pub plan: PlanIndex,
@@ -23,16 +23,16 @@
     pub client: QuotaClient,
 }
 
-/// The tokens in a tenant's bucket as of a time.
-pub(super) struct KnownTokens {
+/// The level of a tenant's bucket at a point in time.
+pub(super) struct BucketSnapshot {
     pub tokens: Tokens,
     pub as_of: Timestamp,
 }
 
 impl Tenant {
-    /// The duration until the bucket holds the cost of a request, as far as this gateway knows. `None` if the
-    /// rate of the plan is not limited; negative if the bucket held it already.
-    pub(super) fn tokens_available_in(
+    /// Returns the time until the bucket holds `cost`, as far as this gateway knows; negative if it already
+    /// does. Returns `None` if the plan does not limit the rate.
+    pub(super) fn time_until_available(
         &self,
         cost: Tokens,
         settings: &Settings,
@@ -42,8 +42,8 @@
         if refill_rate <= TokensPerSecond::ZERO {
             return None;
         }
-        // As the owner last reported them, or as counted by this gateway.
-        let known = self.client.reported_tokens().unwrap_or(KnownTokens {
+        // The owner's last report, or the local state if there is none.
+        let known = self.client.reported_bucket().unwrap_or(BucketSnapshot {
             tokens: self.owner.tokens(),
             as_of: self.owner.updated_at(),
         });
@@ -51,23 +51,22 @@
         Some(known.as_of + missing.time_at(refill_rate) - now)
     }
 
-    /// Whether the gateways of the tenant's shard share the permits of its plan.
+    /// Whether the plan limits concurrency and the gateways of the tenant's shard share its permits.
     pub(super) fn shares_permits(&self, settings: &Settings) -> bool {
         settings.plan(self.plan).max_concurrency > 0 && self.client.local_permit_limit().is_none()
     }
 }
 
-/// All tenants, by key. Those that have been idle for long are dropped.
+/// All known tenants by key.
 pub(super) struct Tenants(ExpiringMap<TenantKey, Tenant>);
 
 impl Tenants {
-    /// No tenants yet.
     pub(super) fn new() -> Tenants {
         Tenants(ExpiringMap::new())
     }
 
-    /// The tenant of an account, which counts as seen now. A new one starts with a random credit for asking
-    /// the owner, so that the gateways of a shard do not ask at the same time.
+    /// Returns the tenant of an account, creating it if needed, and marks it as active. New tenants start
+    /// with a random poll credit, so that the gateways of a shard do not all ask the owner at the same time.
     pub(super) fn touch(
         &mut self,
         account: AccountId,
@@ -75,7 +74,8 @@
         context: &mut EventContext,
     ) -> &mut Tenant {
         let now = context.now;
-        // Drawn for known tenants too: decisions are reproducible only with the same sequence of draws.
+        // Drawn for known tenants too, because decisions are only reproducible if the sequence of random
+        // draws is the same.
         let poll_credit = context.rng.random::<f64>();
         let plan = settings.plan(account.plan);
         self.0.touch(account.tenant, now, || Tenant {
@@ -85,9 +85,10 @@
         })
     }
 
-    /// The owner's side of an account, brought up to now. The tenant counts as seen now. The plan with which
-    /// it became known applies, since the plan in a damaged message may be another.
-    pub(super) fn advanced_owner(
+    /// Returns the owner state of an account after advancing it to the current time, and marks the tenant as
+    /// active. Uses the plan under which the tenant was first seen, since the plan in a corrupted message may
+    /// differ.
+    pub(super) fn advance_owner(
         &mut self,
         account: AccountId,
         settings: &Settings,
@@ -100,19 +101,17 @@
         &mut tenant.owner
     }
 
-    /// The tenant with this key.
     pub(super) fn get(&self, tenant: TenantKey) -> Option<&Tenant> {
         self.0.get(&tenant)
     }
 
-    /// The tenant with this key, for a change.
     pub(super) fn get_mut(&mut self, tenant: TenantKey) -> Option<&mut Tenant> {
         self.0.get_mut(&tenant)
     }
 
-    /// Drops idle tenants without a request in flight. Returns whether it searched for them.
+    /// Evicts idle tenants without requests in flight. Returns false if the last scan was too recent.
     pub(super) fn evict_idle(&mut self, now: Timestamp) -> bool {
-        let in_use = |tenant: &Tenant| tenant.client.is_in_use();
+        let in_use = |tenant: &Tenant| tenant.client.has_requests_in_flight();
         self.0.evict_idle(MAX_IDLE, EVICTION_INTERVAL, now, in_use)
     }
 }
--- a/src/decisions/quota_exchange.rs
+++ b/src/decisions/quota_exchange.rs
@@ -1,41 +1,44 @@
-//! What passes between this gateway and the owners of quotas, of which it may be one itself.
+//! Exchange of quota requests, decisions and settlements between this gateway and the owners of quotas, which
+//! may be this gateway itself.
 //!
-//! A decision of an owner may admit a request, and a request that is rejected after all returns its grant,
-//! which may lead the owner to further decisions. That is why this is a part of the coordinator.
+//! The coordinator handles these exchanges because they form a cycle with its other decisions: an owner's
+//! decision may admit a request, a request rejected after admission returns its grant, and a returned grant
+//! may make the owner decide on further requests.
 
 use super::Decisions;
 use super::account::AccountId;
 use super::gossip::{
     GossipMessage, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse, TenantKey,
 };
-use super::quota::{QueuedDecision, Settlement, Unused, schedule_renewal};
+use super::quota::{QueuedDecision, Settlement, UnusedGrant, schedule_renewal};
 use super::requests::{LateGrant, QuotaGrant, ReceivedRequest};
 use crate::events::GatewayId;
 use crate::units::Tokens;
 
 impl Decisions {
-    /// Settles usage that differs from what the owner granted.
+    /// Settles usage that differs from the grant, and carries out any decisions on queued requests that
+    /// result.
     pub(super) fn settle(&mut self, settlement: Settlement) {
         let decisions = self.quotas.settle(&settlement, &mut self.context);
         self.respond_to_queued(settlement.account, decisions);
     }
 
-    /// Keeps the tokens of a request that is not forwarded for later requests, or returns them with its
-    /// permit.
+    /// Gives back the tokens and the permit of a request that is not forwarded. The tokens may be kept
+    /// locally for later requests.
     pub(super) fn return_unused(
         &mut self,
         received: &ReceivedRequest,
         permit: Option<QuotaRequestId>,
     ) {
         let AccountId { tenant, owner, .. } = received.account;
-        let unused = Unused {
+        let unused = UnusedGrant {
             tokens: received.request.cost,
             permit,
         };
         self.return_to_owner(tenant, owner, unused);
     }
 
-    fn return_to_owner(&mut self, tenant: TenantKey, owner: GatewayId, unused: Unused) {
+    fn return_to_owner(&mut self, tenant: TenantKey, owner: GatewayId, unused: UnusedGrant) {
         let settlement = self
             .quotas
             .return_unused(tenant, owner, unused, self.context.now);
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Renews the lease of a permit, if a request in flight still uses it.
+    /// Renews the lease of a permit if the request that holds it is still in flight.
     pub(super) fn renew_permit(&mut self, permit: QuotaRequestId) {
         let Some(holder) = self.requests.permit_holder_due(permit, self.context.now) else {
             return;
@@ -55,12 +58,13 @@
         }
     }
 
-    /// Gossip has arrived, so that other gateways can probably be reached again.
+    /// Reports unconfirmed usage when gossip arrives, since its arrival suggests that other gateways can be
+    /// reached again.
     pub(crate) fn on_gossip(&mut self) {
         self.quotas.report_unconfirmed_usage(&mut self.context);
     }
 
-    /// The owner has responded to a quota request of this gateway.
+    /// Handles an owner's response to a quota request of this gateway.
     pub(crate) fn on_quota_response(
         &mut self,
         tenant: TenantKey,
@@ -89,9 +93,9 @@
         match decision {
             QuotaDecision::Granted { cost } => {
                 let received = pending.received;
-                // A repeated grant contains no tokens.
+                // The response to a retransmitted request that was already granted has a cost of 0.
                 if cost > Tokens::ZERO {
-                    let prefetched = Unused::tokens(cost - received.request.cost);
+                    let prefetched = UnusedGrant::without_permit(cost - received.request.cost);
                     self.return_to_owner(tenant, owner, prefetched);
                 }
                 self.admit(received, QuotaGrant::Granted(id));
@@ -101,8 +105,9 @@
         }
     }
 
-    /// A grant that arrives when the request no longer waits for it confirms that request, if it was
-    /// forwarded without one. Otherwise the grant is returned.
+    /// Handles a decision for a request that no longer waits for one. A grant confirms the request if it was
+    /// forwarded without a grant. Otherwise the grant is returned to the owner, unless it repeats one that is
+    /// in use.
     fn on_late_decision(
         &mut self,
         tenant: TenantKey,
@@ -120,12 +125,12 @@
             LateGrant::Repeated => {}
             LateGrant::Unused => {
                 let permit = Some(id);
-                self.return_to_owner(tenant, owner, Unused { tokens, permit });
+                self.return_to_owner(tenant, owner, UnusedGrant { tokens, permit });
             }
         }
     }
 
-    /// Another gateway asks this one, as the owner of an account, for tokens or a permit.
+    /// Handles a quota request from another gateway for an account that this gateway owns.
     pub(crate) fn on_quota_request(&mut self, account: AccountId, request: QuotaRequest) {
         let decision = self.decide_as_owner(account, request);
         self.respond(account, &request, decision);
@@ -141,7 +146,7 @@
         self.quotas.decide(account, request, &self.context)
     }
 
-    /// Another gateway reports its use of an account that this one owns.
+    /// Handles another gateway's report of its usage of an account that this gateway owns.
     pub(crate) fn on_usage_message(
         &mut self,
         account: AccountId,
--- a/src/decisions/requests/received.rs
+++ b/src/decisions/requests/received.rs
@@ -54,7 +54,7 @@
             client_deadline.min(now + latency_objective)
         };
         ReceivedRequest {
-            account: AccountId::of(&request, settings.gateway_count),
+            account: AccountId::for_request(&request, settings.gateway_count),
             request,
             tier,
             arrived_at: now,
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refill {
     /// The level that the bucket would have without its limit.
-    pub unlimited_level: Tokens,
+    pub uncapped_level: Tokens,
     /// The level that it has.
     pub level: Tokens,
 }
@@ -24,7 +24,7 @@
     /// The tokens that did not fit.
     #[must_use]
     pub fn overflow(&self) -> Tokens {
-        self.unlimited_level - self.level
+        self.uncapped_level - self.level
     }
 }
 
@@ -52,10 +52,10 @@
 
     /// Adds the tokens of the time that has passed since the last refill, up to the burst.
     pub fn refill(&mut self, limits: BucketLimits, elapsed: Milliseconds) -> Refill {
-        let unlimited_level = self.level + limits.refill_rate.over(elapsed);
-        self.level = unlimited_level.min(limits.burst);
+        let uncapped_level = self.level + limits.refill_rate.over(elapsed);
+        self.level = uncapped_level.min(limits.burst);
         Refill {
-            unlimited_level,
+            uncapped_level,
             level: self.level,
         }
     }
--- a/tests/statistics/token_bucket.rs
+++ b/tests/statistics/token_bucket.rs
@@ -14,7 +14,7 @@
     assert_exactly(refill.level.as_f64(), 5.0);
     assert_exactly(refill.overflow().as_f64(), 0.0);
     let refill = bucket.refill(limits, Milliseconds(2500.0));
-    assert_exactly(refill.unlimited_level.as_f64(), 30.0);
+    assert_exactly(refill.uncapped_level.as_f64(), 30.0);
     assert_exactly(refill.overflow().as_f64(), 10.0);
     assert_exactly(bucket.level().as_f64(), 20.0);
 }
