--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,4 @@
-//! The decision engine of one gateway: it passes events to the decisions and returns the resulting actions.
+//! Decision engine of one gateway: dispatches events to the decision components and returns their actions.
 
 use crate::decisions::{AccountId, Decisions, GossipMessage, TenantKey, TimerPurpose, decode};
 use crate::events::{Action, Event, GatewayId};
@@ -6,7 +6,7 @@
 use crate::units::Timestamp;
 use std::sync::Arc;
 
-/// The decisions of one gateway, driven by events. The engine does no input or output and reads no clock.
+/// Event-driven decision engine of one gateway. It performs no I/O and reads no clock.
 pub struct DecisionEngine {
     decisions: Decisions,
     gateway: GatewayId,
@@ -15,10 +15,10 @@
 }
 
 impl DecisionEngine {
-    /// Creates the engine of a gateway that has just started. All its random numbers come from `seed`.
+    /// Creates the engine of a gateway that has just started. `seed` determines all of its random numbers.
     ///
     /// # Errors
-    /// Returns the first fault that [`Settings::validate`] finds.
+    /// Returns the first error that [`Settings::validate`] finds.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(DecisionEngine {
@@ -29,9 +29,9 @@
         })
     }
 
-    /// Handles an event that happened at `now`. Returns the actions to carry out, in their order.
+    /// Handles an event that happened at `now` and returns the actions to execute, in order.
     ///
-    /// Time never runs backwards: a time before that of the last event counts as that of the last event.
+    /// If `now` is earlier than the time of the previous event, the time of the previous event is used.
     pub fn handle_event(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         self.decisions.set_time(self.now);
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,127 +1,130 @@
-//! The interface of the decision engine: the [`Event`]s that it handles and the [`Action`]s that it returns.
+//! Interface of the decision engine: the [`Event`]s that it handles and the [`Action`]s that it returns.
 //!
-//! The caller reports everything that a gateway observes as an event and carries out the resulting actions in their
-//! order. It reports the end of each attempt that an [`Action::Forward`] started as an [`Event::AttemptFinished`], and
-//! the end of each delay that an [`Action::SetTimer`] asked for as an [`Event::TimerFired`].
+//! The caller reports everything that the gateway observes as events, and executes the returned actions in
+//! order. It must report the end of each attempt started by [`Action::Forward`] as
+//! [`Event::AttemptFinished`], and the expiry of each timer set by [`Action::SetTimer`] as
+//! [`Event::TimerFired`].
 //!
-//! All points in time are on the caller's clock, which has no particular origin and only moves forward.
+//! All timestamps are on the caller's clock, which has an arbitrary origin and never goes backwards.
 
 use crate::units::{Milliseconds, Timestamp, Tokens};
 use derive_more::Display;
 use std::sync::Arc;
 
-/// The name of an endpoint. Only the equality and the order of names are used.
+/// Name of an endpoint. The engine only compares and orders names.
 pub type EndpointName = Arc<str>;
 
-/// The name of a tenant. Only the equality of names is used.
+/// Name of a tenant. The engine compares names and hashes them to select the owner of the tenant's quota.
 pub type TenantName = Arc<str>;
 
-/// The id of a request. The caller never uses an id twice.
+/// Id of a request. The caller must not reuse ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestId(pub u64);
 
-/// The number of a gateway in its fleet, from 0.
+/// Index of a gateway in the fleet, starting at 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GatewayId(pub u32);
 
-/// The position of a request class in [`Settings::classes`](crate::Settings::classes).
+/// Index of a request class in [`Settings::classes`](crate::Settings::classes).
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ClassIndex(pub usize);
 
-/// The position of a plan in [`Settings::plans`](crate::Settings::plans).
+/// Index of a plan in [`Settings::plans`](crate::Settings::plans).
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct PlanIndex(pub usize);
 
-/// The number of a zone.
+/// Index of a zone in [`SettingsDocument::zones`](crate::SettingsDocument::zones).
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ZoneId(pub u32);
 
-/// The number of a cell, a group of endpoints within a zone.
+/// Id of a cell, which is a group of endpoints within a zone.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct CellId(pub u32);
 
-/// The number of a hardware model. Endpoints of one model are expected to be equally fast.
+/// Index of a hardware model in
+/// [`SettingsDocument::hardware_kinds`](crate::SettingsDocument::hardware_kinds). Endpoints of the same model
+/// are expected to be equally fast.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct HardwareId(pub u32);
 
-/// A value that the engine chooses for a timer and gets back when the timer fires.
+/// Timer id chosen by the engine and returned by the caller when the timer fires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
 
-/// What the endpoint list says about an endpoint.
+/// State of an endpoint according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum EndpointState {
-    /// It accepts requests.
+    /// The endpoint accepts requests.
     #[default]
     Ready,
-    /// It completes the requests that it has and accepts no new ones.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has left the fleet.
+    /// The endpoint has left the fleet.
     Removed,
 }
 
-/// An entry of the endpoint list.
+/// An endpoint as described by the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The name that identifies the endpoint.
+    /// Unique name of the endpoint.
     pub name: EndpointName,
-    /// The number of its zone.
+    /// Zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// The number of its cell.
+    /// Cell that the endpoint belongs to.
     pub cell: CellId,
-    /// The number of its hardware model.
+    /// Hardware model that the endpoint runs on.
     pub hardware: HardwareId,
-    /// Its registered size, relative to the sizes of other endpoints.
+    /// Registered capacity relative to other endpoints.
     pub weight: f64,
-    /// What the list says about it.
+    /// State according to the endpoint list.
     pub state: EndpointState,
-    /// When it last started; 0 means long ago.
+    /// Time of the last start; 0 means long ago.
     pub started_at: Timestamp,
 }
 
-/// Which endpoints an [`Event::EndpointsChanged`] contains.
+/// Whether an [`Event::EndpointsChanged`] contains all endpoints or only changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// All endpoints. An endpoint that is missing has left the fleet.
+    /// All endpoints. Endpoints that are missing have left the fleet.
     Snapshot,
     /// Only the endpoints that have changed.
     Delta,
 }
 
-/// A request of a client.
+/// A client request as received by the gateway.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The id of the request, which is never used twice.
+    /// Unique id; the caller must not reuse it.
     pub id: RequestId,
-    /// The tenant whose quota the request counts against.
+    /// Tenant whose quota is charged.
     pub tenant: TenantName,
-    /// Its class.
+    /// Request class, which sets the priority, latency objective and retry safety.
     pub class: ClassIndex,
-    /// The tenant's plan.
+    /// Plan that sets the tenant's quota.
     pub plan: PlanIndex,
-    /// Its cost. It may be an estimate: see [`AttemptOutcome::actual_cost`].
+    /// Cost in quota tokens. It may be an estimate; see [`AttemptOutcome::actual_cost`].
     pub cost: Tokens,
-    /// The first gateway of the tenant's shard, which is the set of gateways that receive the tenant's requests.
+    /// First gateway of the tenant's shard, the set of gateways that receive the tenant's requests.
     pub shard_start: GatewayId,
-    /// The number of gateways in the shard. They follow the first one in numerical order, and gateway 0 follows the
-    /// last gateway of the fleet.
+    /// Number of gateways in the shard; 0 means the whole fleet. The shard consists of consecutive gateways
+    /// and wraps around from the last gateway of the fleet to gateway 0.
     pub shard_size: u32,
-    /// When the client stops waiting for an answer.
+    /// Time at which the client stops waiting for an answer.
     pub client_deadline: Timestamp,
-    /// Whether the client has marked the request as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// How an attempt ended.
+/// How an attempt ended, and whether the request may have executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The endpoint answered, and the answer went to the client.
+    /// The endpoint answered and the answer was passed to the client.
     Success,
     /// The endpoint answered with an error. The request may have executed.
     Error,
-    /// The endpoint rejected the request before executing it.
+    /// The endpoint rejected the request without executing it.
     Overloaded,
-    /// No answer came in time. The request may have executed, or still execute.
+    /// No answer arrived in time. The request may have executed or may still be executing.
     TimedOut,
     /// No connection could be established. The request has not executed.
     ConnectFailed,
@@ -133,119 +136,119 @@
     NeverSent,
 }
 
-/// The load that an endpoint reports about itself. Values that it does not report are absent.
+/// Load that an endpoint reports about itself. Fields that the endpoint does not report are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// The number of requests in progress.
+    /// Number of requests in progress at the endpoint.
     pub in_flight: Option<f64>,
-    /// The fraction of CPU time in use, from 0 to 1. The engine does not read it at present.
+    /// Fraction of CPU time in use, from 0 to 1. Currently ignored by the engine.
     pub utilization: Option<f64>,
-    /// The number of requests completed per second. The engine does not read it at present.
+    /// Number of requests completed per second. Currently ignored by the engine.
     pub requests_per_second: Option<f64>,
 }
 
-/// How an attempt ended, and what the endpoint reported with its answer.
+/// Outcome of an attempt, with the data that the endpoint returned.
 #[derive(Debug, Clone)]
 pub struct AttemptOutcome {
-    /// The request that the attempt belongs to.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The number of the attempt among the attempts of the request, from 0.
+    /// Number of the attempt within the request, starting at 0.
     pub attempt: u32,
-    /// The endpoint that the attempt went to.
+    /// Endpoint to which the attempt was sent.
     pub endpoint: EndpointName,
-    /// How the attempt ended.
+    /// How the attempt ended, which determines whether the request may have executed.
     pub result: AttemptResult,
-    /// How long the attempt took.
+    /// Time from the start of the attempt to its end.
     pub latency: Milliseconds,
-    /// Whether the request has ended as well, so that no answer is owed any more.
+    /// Whether the request has ended too, so that the client expects no further answer.
     pub request_ended: bool,
-    /// The tenant's metered use over all gateways, as a fraction of its refill rate, or of its concurrency limit if it
-    /// has no rate. The engine does not read it at present.
+    /// Metered fleet-wide usage of the tenant, as a fraction of its refill rate or, if the rate is unlimited,
+    /// of its concurrency limit. Currently ignored by the engine.
     pub metered_use: Option<f64>,
-    /// The actual cost, if the cost of the request was an estimate.
+    /// Actual cost, if [`Request::cost`] was an estimate.
     pub actual_cost: Option<Tokens>,
-    /// The load report that came with the answer.
+    /// Load report returned with the answer.
     pub load_report: Option<LoadReport>,
 }
 
-/// An observation of a gateway.
+/// Something that the gateway observed.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Discovery has sent a list of endpoints.
+    /// Discovery sent a list of endpoints.
     EndpointsChanged {
-        /// Whether the list is complete or holds only changes.
+        /// Whether the list is a complete snapshot or a set of changes.
         kind: EndpointListKind,
-        /// The entries of the list.
+        /// The listed endpoints, interpreted according to `kind`.
         endpoints: Vec<Endpoint>,
     },
-    /// A client has sent a request, to which exactly one final answer is owed.
+    /// A client sent a request, which must get exactly one final answer.
     RequestReceived(Request),
-    /// An attempt has ended.
+    /// An attempt started by [`Action::Forward`] ended.
     AttemptFinished(AttemptOutcome),
-    /// The client has disconnected or stopped waiting. The request has ended, and no answer is owed any more.
+    /// The client disconnected or stopped waiting. The request has ended and must not be answered.
     ClientDisconnected {
-        /// The request.
+        /// Id of the [`Request`] whose client is gone.
         request: RequestId,
     },
-    /// A health check has finished. The engine requests no health checks at present and ignores their results.
+    /// A health check finished. The engine currently requests no health checks and ignores their results.
     HealthChecked {
-        /// The endpoint that was checked.
+        /// Endpoint that was checked.
         endpoint: EndpointName,
-        /// Whether the endpoint is healthy.
+        /// Whether the endpoint passed the check.
         ok: bool,
-        /// The load report that came with the result.
+        /// Load report returned with the result.
         load_report: Option<LoadReport>,
     },
-    /// A gossip message has arrived from another gateway.
+    /// A gossip datagram arrived from another gateway.
     GossipReceived {
-        /// The gateway that sent it.
+        /// Gateway that sent the datagram.
         from: GatewayId,
-        /// The text of the message.
+        /// Content of the datagram.
         text: String,
     },
-    /// A timer has fired.
+    /// A timer set by [`Action::SetTimer`] expired.
     TimerFired {
-        /// The token that the timer was set with.
+        /// Token from the [`Action::SetTimer`] that set the timer.
         token: TimerToken,
     },
 }
 
-/// An action that the caller has to carry out.
+/// Action for the caller to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
+    /// Start an attempt. Attempts of a request are numbered from 0 in the order of these actions.
     Forward {
-        /// The request to forward.
+        /// Id of the [`Request`] to forward.
         request: RequestId,
-        /// The endpoint to forward it to.
+        /// Endpoint to which the attempt is sent.
         endpoint: EndpointName,
-        /// When to abandon the attempt.
+        /// Time at which the caller must abandon the attempt.
         deadline: Timestamp,
     },
-    /// Answer the request with a rejection, which is final and means that a retry is safe.
+    /// Reject the request. This is a final answer, which tells the client that a retry is safe.
     Reject {
-        /// The request to answer.
+        /// Id of the [`Request`] to answer.
         request: RequestId,
-        /// How long the client should wait before it retries; 0 gives no advice.
+        /// Time that the client should wait before it retries; 0 means no advice.
         retry_after: Milliseconds,
     },
-    /// Answer the request with a failure, which is final and leaves open whether the request has executed.
+    /// Fail the request. This is a final answer, which leaves open whether the request has executed.
     Fail {
-        /// The request to answer.
+        /// Id of the [`Request`] to answer.
         request: RequestId,
     },
-    /// Send a gossip message to another gateway.
+    /// Send a gossip datagram to another gateway.
     SendGossip {
-        /// The gateway to send it to.
+        /// Gateway that receives the datagram.
         to: GatewayId,
-        /// The text of the message, at most 256 bytes.
+        /// Content of the datagram, at most 256 bytes.
         text: String,
     },
     /// Report [`Event::TimerFired`] after a delay. Timers cannot be cancelled.
     SetTimer {
-        /// The token to report.
+        /// Token to report when the timer fires.
         token: TimerToken,
-        /// The delay from now.
+        /// Delay relative to the time of the current event.
         delay: Milliseconds,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
-//! A gateway that enforces per-tenant quotas over its whole fleet, sheds load by priority, and balances requests
-//! over endpoints.
+//! A gateway that enforces fleet-wide tenant quotas, sheds load by priority, and balances requests over
+//! endpoints.
 //!
-//! [`DecisionEngine`] makes every decision of one gateway. The caller hands it each [`Event`] with the time at
-//! which it happened and carries out the [`Action`]s that it returns. The engine does no input or output, reads no
-//! clock, and draws random numbers only from the seed it was created with, so the same events always give the same
-//! actions. The [`gateway`] module drives an engine with real sockets.
+//! [`DecisionEngine`] makes all decisions of one gateway. The caller passes each [`Event`] to the engine with
+//! its time and executes the [`Action`]s that the engine returns. The engine performs no I/O and reads no
+//! clock. Its random numbers depend only on the seed passed at creation, so the same events always produce
+//! the same actions. The [`gateway`] module connects an engine to real sockets.
 //!
 //! ```
 //! use marlshelf::{
-//!     Action, CellId, ClassIndex, DecisionEngine, Endpoint, EndpointListKind, EndpointState, Event, GatewayId,
-//!     HardwareId, Idempotency, Milliseconds, Plan, PlanIndex, Request, RequestClass, RequestId, Settings, Timestamp,
-//!     Tokens, TokensPerSecond, ZoneId,
+//!     Action, CellId, ClassIndex, DecisionEngine, Endpoint, EndpointListKind, EndpointState, Event,
+//!     GatewayId, HardwareId, Idempotency, Milliseconds, Plan, PlanIndex, Request, RequestClass, RequestId,
+//!     Settings, Timestamp, Tokens, TokensPerSecond, ZoneId,
 //! };
 //!
 //! let settings = Settings {
@@ -21,7 +21,12 @@
 //!         priority_weight: 1.0,
 //!         ..RequestClass::default()
 //!     }],
-//!     plans: vec![Plan { refill_rate: TokensPerSecond(10.0), burst: Tokens(20.0), weight: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan {
+//!         refill_rate: TokensPerSecond(10.0),
+//!         burst: Tokens(20.0),
+//!         weight: 1.0,
+//!         ..Plan::default()
+//!     }],
 //!     ..Settings::default()
 //! };
 //! let mut engine = DecisionEngine::new(settings, 7)?;
--- a/src/settings/document/conversion.rs
+++ b/src/settings/document/conversion.rs
@@ -1,4 +1,4 @@
-//! The conversion of the serialized settings into the terms of this library.
+//! Conversion of the settings document to the settings of the decision engine.
 
 use super::{
     ClassDocument, DeduplicationScopeDocument, IdempotencyDocument, PlanDocument, SettingsDocument,
@@ -8,21 +8,22 @@
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 use std::time::Duration;
 
-/// The platform sends SIGKILL after SIGTERM no sooner than after the longest deadline of any class, of which it counts
-/// no more than this, and [`TERMINATION_MARGIN_MS`].
+/// Upper bound on the class deadline that the platform allows for during termination. The platform sends
+/// SIGKILL no earlier than the longest class deadline, capped at this value, plus [`TERMINATION_MARGIN_MS`]
+/// after SIGTERM.
 const MAX_TERMINATION_WAIT_MS: f64 = 3000.0;
 
-/// The time that the platform adds to the longest deadline before it sends SIGKILL.
+/// Time that the platform adds to the longest class deadline before it sends SIGKILL.
 const TERMINATION_MARGIN_MS: f64 = 700.0;
 
 impl SettingsDocument {
-    /// The number of gateways in the fleet.
+    /// Number of gateways in the fleet, not validated yet.
     #[must_use]
     pub fn gateway_count(&self) -> u32 {
         self.gateway_count
     }
 
-    /// The least time between SIGTERM and SIGKILL.
+    /// Returns the minimum time that the platform leaves between SIGTERM and SIGKILL.
     #[must_use]
     pub fn termination_grace(&self) -> Duration {
         let longest_deadline_ms = self
@@ -38,7 +39,7 @@
         Duration::from_secs_f64((wait_ms + TERMINATION_MARGIN_MS) / 1000.0)
     }
 
-    /// The settings that the decisions depend on. They are not validated yet.
+    /// Returns the settings of the decision engine. They are not validated; see [`Settings::validate`].
     #[must_use]
     pub fn settings(&self) -> Settings {
         Settings {
--- a/src/settings/document/mod.rs
+++ b/src/settings/document/mod.rs
@@ -1,32 +1,34 @@
-//! The settings as they are serialized.
+//! JSON form of the settings.
 //!
-//! The deployment (the `settings` object of the file that `GW_CONFIG` names) and the simulator (the `Conf` object of an
-//! instance's first message) write the same JSON object. Its keys and units are theirs and are translated here, once,
-//! into the terms of this library. Keys that are not known are skipped, so that a site can add some.
+//! Deployments (the `settings` object of the file named by `GW_CONFIG`) and the simulator (the `Conf` object
+//! of an instance's first message) write the same JSON object. Its keys and units are defined by them, and
+//! only this module translates them to the names of this library. Unknown keys are ignored, so that
+//! deployments can add their own.
 //!
-//! Times are in milliseconds. Costs, bursts and slacks are in quota tokens, and rates in quota tokens per second.
+//! Times are in milliseconds. Costs, bursts and slacks are in quota tokens, and rates in quota tokens per
+//! second.
 
 mod conversion;
 
 use super::SettingsField;
 use serde::Deserialize;
 
-/// How long a connection attempt may take where the settings do not say it.
+/// Connection timeout if `ConnectTimeout` is not set.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 
-/// How long a connection may be idle where the settings do not say it.
+/// Idle timeout of connections if `ConnIdle` is not set.
 const DEFAULT_IDLE_CONNECTION_TIMEOUT_MS: f64 = 15_000.0;
 
-/// How many requests may be active at once where the settings do not say it.
+/// Limit on active requests if `MaxOpen` is not set.
 const DEFAULT_MAX_ACTIVE_REQUESTS: usize = 20_000;
 
-/// How long requests may go to an endpoint that is draining where the settings do not say it.
+/// Grace period for requests to draining endpoints if `DrainGrace` is not set.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 500.0;
 
-/// How long a gateway may go without polling discovery where the settings do not say it.
+/// Maximum time between discovery polls if `MustAskIn` is not set.
 const DEFAULT_MAX_POLL_INTERVAL_MS: f64 = 10_000.0;
 
-/// The JSON object of settings that a gateway gets at its start.
+/// JSON settings that a gateway reads at startup.
 #[derive(Debug, Deserialize)]
 pub struct SettingsDocument {
     #[serde(rename = "Balancers")]
@@ -35,59 +37,59 @@
     gateway: u32,
     #[serde(rename = "Zone", default)]
     zone: u32,
-    /// The names of the zones. Elsewhere a zone is the index of its name in this list.
+    /// Names of the zones. A [`ZoneId`](crate::ZoneId) is an index in this list.
     #[serde(rename = "Areas", default)]
     pub zones: Vec<String>,
-    /// The names of the hardware models. Elsewhere a model is the index of its name in this list.
+    /// Names of the hardware models. A [`HardwareId`](crate::HardwareId) is an index in this list.
     #[serde(rename = "Kinds", default)]
     pub hardware_kinds: Vec<String>,
-    /// The request classes. Elsewhere a class is its index in this list.
+    /// Request classes. A [`ClassIndex`](crate::ClassIndex) is an index in this list.
     #[serde(rename = "Classes")]
     pub classes: Vec<ClassDocument>,
-    /// The plans. Elsewhere a plan is its index in this list.
+    /// Plans. A [`PlanIndex`](crate::PlanIndex) is an index in this list.
     #[serde(rename = "Plans", default)]
     pub plans: Vec<PlanDocument>,
-    /// What the site permits.
+    /// Limits on connections, requests and attempts.
     #[serde(rename = "Bounds", default)]
     pub limits: LimitsDocument,
     #[serde(rename = "Domain", default)]
     service: ServiceDocument,
-    /// How gateways learn about changes of the endpoint list.
+    /// How gateways receive changes of the endpoint list.
     #[serde(rename = "Discovery", default)]
     pub discovery_mode: DiscoveryMode,
-    /// The parameters of the site's rules.
+    /// Parameters of warm-up, draining and discovery polling.
     #[serde(rename = "Rules", default)]
     pub rules: RulesDocument,
 }
 
-/// How gateways learn about changes of the endpoint list.
+/// How gateways receive changes of the endpoint list.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DiscoveryMode {
-    /// An agent on the gateway's machine has every change without being asked.
+    /// Discovery pushes every change to an agent on the gateway's host, without requests from the gateway.
     #[default]
     #[serde(rename = "automatic")]
     Automatic,
-    /// Each gateway polls or watches a service that all gateways share.
+    /// Each gateway polls or watches a discovery service that all gateways share.
     #[serde(rename = "subscribe")]
     Subscribe,
 }
 
-/// A class of requests.
+/// JSON form of a request class.
 #[derive(Debug, Deserialize)]
 pub struct ClassDocument {
-    /// The name of the class.
+    /// Name of the class; empty if not set.
     #[serde(rename = "Name", default)]
     pub name: String,
     #[serde(rename = "Worth", default)]
     priority_weight: f64,
     #[serde(rename = "Target")]
     latency_objective_ms: f64,
-    /// The longest time that a client of this class waits, in milliseconds; 0 means that it is not stated.
+    /// Maximum time in milliseconds that a client of this class waits for an answer; 0 if unknown.
     #[serde(rename = "Deadline", default)]
     pub deadline_ms: f64,
     #[serde(rename = "LateWorth", default)]
     late_answer_weight: f64,
-    /// Whether requests of this class may be executed more than once.
+    /// Determines how requests of this class may be retried.
     #[serde(rename = "Effect")]
     pub idempotency: IdempotencyDocument,
     #[serde(rename = "Group", default)]
@@ -96,21 +98,21 @@
     deduplication_window_ms: f64,
 }
 
-/// Whether requests of a class may be executed more than once.
+/// JSON form of [`Idempotency`](crate::Idempotency), without the deduplication scope.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 pub enum IdempotencyDocument {
-    /// They may be executed any number of times.
+    /// Requests may be executed any number of times.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// They carry an idempotency key, by which the endpoints of one scope discard duplicates.
+    /// Requests carry an idempotency key, which the endpoints of the deduplication scope use to discard
+    /// duplicates.
     #[serde(rename = "by_key")]
     Keyed,
-    /// They may be executed only once.
+    /// Requests must not be executed more than once.
     #[serde(rename = "once")]
     NonIdempotent,
 }
 
-/// The endpoints that discard duplicates of each other's keyed requests.
 #[derive(Debug, Deserialize, Clone, Copy, Default)]
 enum DeduplicationScopeDocument {
     #[default]
@@ -122,11 +124,11 @@
     Cell,
 }
 
-/// A plan: the quota of each of its tenants.
+/// JSON form of a plan.
 #[derive(Debug, Deserialize, Default)]
 #[serde(default)]
 pub struct PlanDocument {
-    /// The name of the plan.
+    /// Name of the plan; empty if not set.
     #[serde(rename = "Name")]
     pub name: String,
     #[serde(rename = "UnitsPerS")]
@@ -147,7 +149,7 @@
     hard_limit_slack: f64,
 }
 
-/// What the site permits.
+/// Limits on connections, requests and attempts.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct LimitsDocument {
@@ -155,13 +157,13 @@
     gossip_enabled: bool,
     #[serde(rename = "TryLimit")]
     max_attempts: u32,
-    /// A connection attempt fails if it takes longer than this, in milliseconds.
+    /// Connection attempts that take longer fail, in milliseconds.
     #[serde(rename = "ConnectTimeout")]
     pub connect_timeout_ms: f64,
-    /// A connection is closed after it has been idle for this long, in milliseconds.
+    /// Connections idle for longer are closed, in milliseconds.
     #[serde(rename = "ConnIdle")]
     pub idle_connection_timeout_ms: f64,
-    /// The greatest number of requests that a gateway may have active at once.
+    /// Maximum number of active requests per gateway.
     #[serde(rename = "MaxOpen")]
     pub max_active_requests: usize,
 }
@@ -178,7 +180,7 @@
     }
 }
 
-/// Properties of the service that the gateways are in front of.
+/// Properties of the service behind the gateways.
 #[derive(Debug, Deserialize, Default)]
 #[serde(default)]
 struct ServiceDocument {
@@ -188,7 +190,7 @@
     max_request_cost: f64,
 }
 
-/// The parameters of the site's rules.
+/// Parameters of warm-up, draining and discovery polling.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct RulesDocument {
@@ -198,12 +200,12 @@
     warmup_ms: f64,
     #[serde(rename = "FallMultiple")]
     warmup_overload_multiple: f64,
-    /// How long requests may still go to an endpoint after the gateway has learned that it is draining or removed, in
-    /// milliseconds.
+    /// Time in milliseconds for which requests may still be sent to an endpoint after the gateway has learned
+    /// that the endpoint is draining or removed.
     #[serde(rename = "DrainGrace")]
     pub drain_grace_ms: f64,
-    /// A gateway that has not polled a shared discovery service for this long is treated as if it knew the list as it
-    /// was then, in milliseconds.
+    /// Maximum time between polls of a shared discovery service, in milliseconds. A gateway that has not
+    /// polled for longer is treated as if it knew the endpoint list as it was when this time ran out.
     #[serde(rename = "MustAskIn")]
     pub max_poll_interval_ms: f64,
 }
@@ -221,7 +223,8 @@
 }
 
 impl SettingsField {
-    /// The key of the setting in the settings document, relative to the class or the plan that it belongs to.
+    /// Returns the key of the setting in the settings document, relative to its class or plan if it belongs
+    /// to one.
     #[must_use]
     pub fn document_key(self) -> &'static str {
         match self {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The settings that the decisions depend on, and their validation.
+//! Settings of the decision engine and their validation.
 //!
-//! [`Settings`] is what [`DecisionEngine::new`](crate::DecisionEngine::new) takes. It holds only what decisions
-//! read, in the terms of this library. [`SettingsDocument`] is the serialized form that the
-//! deployment and the simulator write, and converts into it.
+//! [`Settings`] is the input of [`DecisionEngine::new`](crate::DecisionEngine::new) and contains only values
+//! that the engine reads. [`SettingsDocument`] is the JSON form written by deployments and by the simulator;
+//! [`SettingsDocument::settings`] converts it.
 
 mod document;
 mod validation;
@@ -16,103 +16,105 @@
 use crate::events::{ClassIndex, GatewayId, PlanIndex, ZoneId};
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
-/// The greatest cost of a request where the settings state none.
+/// Assumed maximum cost of a request if [`Settings::max_request_cost`] is not set.
 const DEFAULT_MAX_REQUEST_COST: Tokens = Tokens(1e6);
 
-/// Whether a request may be executed more than once.
+/// Whether a request can safely be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Idempotency {
-    /// Executing the request again has no further effect, so it may be retried freely.
+    /// Executing the request again has no further effect, so retries are always safe.
     Idempotent,
-    /// The request carries an idempotency key: the endpoints of one scope discard duplicates of it within the
-    /// [deduplication window](RequestClass::deduplication_window) of its class.
+    /// The request carries an idempotency key. Endpoints within the scope discard duplicates during the
+    /// [deduplication window](RequestClass::deduplication_window) of the request's class.
     Keyed(DeduplicationScope),
-    /// Executing the request again takes effect again, so it may be retried only if no attempt can have executed.
+    /// Each execution has an effect, so the request may be retried only if no earlier attempt can have
+    /// executed.
     #[default]
     NonIdempotent,
 }
 
-/// The set of endpoints that discard duplicates of each other's keyed requests.
+/// Set of endpoints that share the detection of duplicate keyed requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints.
+    /// All endpoints of the fleet.
     All,
-    /// The endpoints of one zone.
+    /// The endpoints in the same zone.
     Zone,
-    /// The endpoints of one cell.
+    /// The endpoints in the same cell.
     Cell,
 }
 
-/// A class of requests: how much its answers count, and whether its requests may be retried.
+/// Request class: the priority, latency objective and retry safety of its requests.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestClass {
-    /// The value of an answer in time, before the weight of the tenant's plan is applied. No unit; values are only
+    /// Value of a timely answer, before the plan's weight is applied. It has no unit; values are only
     /// compared with each other.
     pub priority_weight: f64,
-    /// An answer within this time has its full value. Must be more than 0.
+    /// Latency up to which an answer has its full value. Must be positive.
     pub latency_objective: Milliseconds,
-    /// The fraction of its value that a later answer still has.
+    /// Value of an answer after the latency objective, as a fraction of its full value.
     pub late_answer_weight: f64,
-    /// Whether requests of this class may be executed more than once.
+    /// Determines how requests of this class may be retried.
     pub idempotency: Idempotency,
-    /// How long endpoints discard duplicates of a keyed request, counted from the start of the first
-    /// attempt that may have executed. Must be more than 0 if the class is [keyed](Idempotency::Keyed).
+    /// Time for which endpoints discard duplicates of a keyed request, measured from the start of the first
+    /// attempt that may have executed. Must be positive if the class is [keyed](Idempotency::Keyed).
     pub deduplication_window: Milliseconds,
 }
 
-/// A plan: the quota that each of its tenants has over all gateways together.
+/// Plan: the fleet-wide quota of each of its tenants.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Plan {
-    /// The rate at which a tenant's token bucket fills; 0 means that the rate is not limited.
+    /// Refill rate of the tenant's token bucket; 0 means that the rate is unlimited.
     pub refill_rate: TokensPerSecond,
-    /// The capacity of the token bucket. Must be more than 0 if there is a refill rate.
+    /// Capacity of the tenant's token bucket. Must be positive if `refill_rate` is.
     pub burst: Tokens,
-    /// The number of attempts that a tenant may have in flight at once; 0 means that concurrency is not limited.
+    /// Maximum number of attempts of a tenant in flight at once; 0 means unlimited.
     pub max_concurrency: u32,
-    /// A factor on the value of the tenant's requests.
+    /// Factor applied to the value of the tenant's requests.
     pub weight: f64,
-    /// The fraction of its value that forwarding a request beyond the quota costs.
+    /// Penalty for forwarding a request beyond the quota, as a fraction of the request's value.
     pub over_quota_penalty: f64,
-    /// The rate at which the token bucket of the hard limit fills; 0 means no hard limit.
+    /// Refill rate of the hard limit's token bucket; 0 means that there is no hard limit.
     pub hard_limit_rate: TokensPerSecond,
-    /// The capacity of the hard limit's token bucket.
+    /// Capacity of the hard limit's token bucket.
     pub hard_limit_burst: Tokens,
-    /// How far the hard limit's token bucket may be overdrawn.
+    /// Maximum debt of the hard limit's token bucket.
     pub hard_limit_slack: Tokens,
 }
 
-/// The settings of one gateway.
+/// Settings of the decision engine of one gateway.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// The number of this gateway in the fleet, from 0.
+    /// Index of this gateway in the fleet, starting at 0.
     pub gateway: GatewayId,
-    /// The number of gateways in the fleet. Must be more than 0.
+    /// Number of gateways in the fleet. Must be positive.
     pub gateway_count: u32,
-    /// The number of the zone that this gateway runs in.
+    /// Zone in which this gateway runs.
     pub zone: ZoneId,
-    /// The request classes. A request names its class by the index in this list, which must not be empty.
+    /// Request classes, indexed by [`ClassIndex`]. Must not be empty.
     pub classes: Vec<RequestClass>,
-    /// The plans. A request names its tenant's plan by the index in this list.
+    /// Plans, indexed by [`PlanIndex`].
     pub plans: Vec<Plan>,
-    /// The greatest number of attempts for one request; 0 means that it is not limited.
+    /// Maximum number of attempts per request; 0 means unlimited.
     pub max_attempts: u32,
-    /// Whether gateways may send each other gossip.
+    /// Whether gateways exchange gossip.
     pub gossip_enabled: bool,
-    /// The greatest cost of a request; 0 or less means that it is not stated.
+    /// Maximum cost of a request; 0 or less means that no maximum is set.
     pub max_request_cost: Tokens,
-    /// The number of gossip messages that a gateway receives per second before further ones are dropped.
+    /// Rate limit on the gossip datagrams that a gateway receives, per second. Datagrams above it are
+    /// dropped.
     pub gossip_intake_per_second: f64,
-    /// The fraction of its capacity that an endpoint has at least when it starts.
+    /// Minimum fraction of its capacity that an endpoint has when it starts.
     pub initial_warmth: f64,
-    /// An endpoint has its full capacity no later than this after its start.
+    /// Maximum time from an endpoint's start until it has its full capacity.
     pub warmup_duration: Milliseconds,
-    /// An endpoint that is warming up fails when its load exceeds this multiple of its present capacity; 0 means that
-    /// the multiple is not stated.
+    /// An endpoint that is warming up fails if its load exceeds this multiple of its current capacity; 0
+    /// means that the multiple is unknown.
     pub warmup_overload_multiple: f64,
 }
 
 impl Settings {
-    /// The greatest cost that any request can have, also where the settings state none.
+    /// Returns [`Settings::max_request_cost`], or the default of 1,000,000 tokens if it is not set.
     #[must_use]
     pub fn largest_request_cost(&self) -> Tokens {
         if self.max_request_cost > Tokens::ZERO {
@@ -122,19 +124,19 @@
         }
     }
 
-    /// The class with this index.
+    /// Returns the settings of a request class.
     ///
     /// # Panics
-    /// When there is no such class.
+    /// Panics if the index is out of range.
     #[must_use]
     pub fn class(&self, class: ClassIndex) -> &RequestClass {
         &self.classes[class.0]
     }
 
-    /// The plan with this index.
+    /// Returns the settings of a plan.
     ///
     /// # Panics
-    /// When there is no such plan.
+    /// Panics if the index is out of range.
     #[must_use]
     pub fn plan(&self, plan: PlanIndex) -> &Plan {
         &self.plans[plan.0]
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Which settings are rejected, and with which error.
+//! Validation of [`Settings`] and its errors.
 
 use super::{Idempotency, Plan, RequestClass, Settings};
 use crate::events::{ClassIndex, PlanIndex};
@@ -7,11 +7,12 @@
 use thiserror::Error;
 
 impl Settings {
-    /// Checks that decisions can be made with these settings.
+    /// Checks that the settings are complete and consistent.
     ///
     /// # Errors
     ///
-    /// Returns the first fault found: in the fleet, then in the classes, the plans and the limits.
+    /// Returns the first error found. An empty class list and an empty fleet are reported first, then errors
+    /// in classes, plans and general settings, in this order.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -81,7 +82,6 @@
     }
 }
 
-/// Checks that a number is finite and not negative.
 fn check_number(
     section: SettingsSection,
     field: SettingsField,
@@ -98,43 +98,44 @@
     }
 }
 
-/// A setting that is a number.
+/// Numeric setting that can be reported in an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingsField {
-    /// [`RequestClass::priority_weight`](crate::RequestClass::priority_weight)
+    /// [`RequestClass::priority_weight`](crate::RequestClass::priority_weight), without a unit.
     PriorityWeight,
-    /// [`RequestClass::latency_objective`](crate::RequestClass::latency_objective)
+    /// [`RequestClass::latency_objective`](crate::RequestClass::latency_objective), in milliseconds.
     LatencyObjective,
-    /// [`RequestClass::late_answer_weight`](crate::RequestClass::late_answer_weight)
+    /// [`RequestClass::late_answer_weight`](crate::RequestClass::late_answer_weight), a fraction.
     LateAnswerWeight,
-    /// [`RequestClass::deduplication_window`](crate::RequestClass::deduplication_window)
+    /// [`RequestClass::deduplication_window`](crate::RequestClass::deduplication_window), in milliseconds.
     DeduplicationWindow,
-    /// [`Plan::refill_rate`](crate::Plan::refill_rate)
+    /// [`Plan::refill_rate`](crate::Plan::refill_rate), in tokens per second.
     RefillRate,
-    /// [`Plan::burst`](crate::Plan::burst)
+    /// [`Plan::burst`](crate::Plan::burst), in tokens.
     Burst,
-    /// [`Plan::weight`](crate::Plan::weight)
+    /// [`Plan::weight`](crate::Plan::weight), without a unit.
     PlanWeight,
-    /// [`Plan::over_quota_penalty`](crate::Plan::over_quota_penalty)
+    /// [`Plan::over_quota_penalty`](crate::Plan::over_quota_penalty), a fraction.
     OverQuotaPenalty,
-    /// [`Plan::hard_limit_rate`](crate::Plan::hard_limit_rate)
+    /// [`Plan::hard_limit_rate`](crate::Plan::hard_limit_rate), in tokens per second.
     HardLimitRate,
-    /// [`Plan::hard_limit_burst`](crate::Plan::hard_limit_burst)
+    /// [`Plan::hard_limit_burst`](crate::Plan::hard_limit_burst), in tokens.
     HardLimitBurst,
-    /// [`Plan::hard_limit_slack`](crate::Plan::hard_limit_slack)
+    /// [`Plan::hard_limit_slack`](crate::Plan::hard_limit_slack), in tokens.
     HardLimitSlack,
-    /// [`Settings::gossip_intake_per_second`](crate::Settings::gossip_intake_per_second)
+    /// [`Settings::gossip_intake_per_second`](crate::Settings::gossip_intake_per_second), in
+    /// datagrams per second.
     GossipIntake,
-    /// [`Settings::initial_warmth`](crate::Settings::initial_warmth)
+    /// [`Settings::initial_warmth`](crate::Settings::initial_warmth), a fraction.
     InitialWarmth,
-    /// [`Settings::warmup_duration`](crate::Settings::warmup_duration)
+    /// [`Settings::warmup_duration`](crate::Settings::warmup_duration), in milliseconds.
     WarmupDuration,
-    /// [`Settings::warmup_overload_multiple`](crate::Settings::warmup_overload_multiple)
+    /// [`Settings::warmup_overload_multiple`](crate::Settings::warmup_overload_multiple), without a unit.
     WarmupOverloadMultiple,
 }
 
 impl SettingsField {
-    /// The name of the setting in error messages: that of its field, with the unit where it is a duration.
+    /// Returns the name used in error messages: the field name, with a unit suffix for durations.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -157,14 +158,14 @@
     }
 }
 
-/// The part of the settings that a fault is in.
+/// Section of the settings in which an error occurred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SettingsSection {
-    /// The request class with this index in [`Settings::classes`](crate::Settings::classes).
+    /// The request class at this index of [`Settings::classes`](crate::Settings::classes).
     Class(ClassIndex),
-    /// The plan with this index in [`Settings::plans`](crate::Settings::plans).
+    /// The plan at this index of [`Settings::plans`](crate::Settings::plans).
     Plan(PlanIndex),
-    /// The settings that belong to no class and no plan.
+    /// Settings outside of classes and plans.
     General,
 }
 
@@ -178,31 +179,31 @@
     }
 }
 
-/// Why decisions cannot be made with some settings.
+/// Error in the settings.
 ///
-/// Messages name each setting by its field in this library and by its key in the settings document, since operators
-/// edit the latter. Classes and plans are counted from 0.
+/// Messages contain both the field name used in this library and the key of the settings document, because
+/// operators edit the document. Class and plan indexes start at 0.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There is no request class.
+    /// The list of request classes is empty.
     #[error("settings: there is no request class; at least one is needed (key `Classes`)")]
     NoClasses,
-    /// The fleet has no gateway.
+    /// The gateway count is 0.
     #[error("settings: the fleet has no gateway; at least one is needed (key `Balancers`)")]
     NoGateways,
-    /// A number is negative, infinite or not a number.
+    /// A number is negative, infinite or NaN.
     #[error(
         "settings: {section}: {} is {value}, but must be finite and not negative (key `{}`)",
         field.name(),
         field.document_key()
     )]
     InvalidNumber {
-        /// Where the number is.
+        /// Section that contains the setting.
         section: SettingsSection,
-        /// Which number it is.
+        /// The setting with the invalid value.
         field: SettingsField,
-        /// The number.
+        /// The rejected value.
         value: f64,
     },
     /// The latency objective of a class is 0.
@@ -210,25 +211,25 @@
         "settings: class {class}: latency_objective_ms is 0, but must be positive (key `Target`)"
     )]
     NoLatencyObjective {
-        /// The index of the class.
+        /// Index in [`Settings::classes`](crate::Settings::classes).
         class: ClassIndex,
     },
-    /// A class is keyed, but its deduplication window is 0.
+    /// The deduplication window of a keyed class is 0.
     #[error(
         "settings: class {class}: deduplication_window_ms is 0, but must be positive for a keyed class (key `Window`)"
     )]
     NoDeduplicationWindow {
-        /// The index of the class.
+        /// Index in [`Settings::classes`](crate::Settings::classes).
         class: ClassIndex,
     },
-    /// A plan limits the rate, but its token bucket has no capacity.
+    /// A plan with a refill rate has a token bucket without capacity.
     #[error(
         "settings: plan {plan}: burst is 0, but must be positive with a refill_rate of {refill_rate} (key `PeakUnits`)"
     )]
     RateWithoutBurst {
-        /// The index of the plan.
+        /// Index in [`Settings::plans`](crate::Settings::plans).
         plan: PlanIndex,
-        /// The refill rate.
+        /// Refill rate of the plan, which is positive.
         refill_rate: TokensPerSecond,
     },
 }
--- a/src/token_bucket.rs
+++ b/src/token_bucket.rs
@@ -1,56 +1,56 @@
-//! A token bucket that can be overdrawn.
+//! A token bucket whose level may become negative.
 
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
-/// How a bucket fills.
+/// Refill rate and capacity of a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BucketLimits {
-    /// The rate at which tokens are added.
+    /// Tokens added per second.
     pub refill_rate: TokensPerSecond,
-    /// The most tokens that the bucket holds.
+    /// Capacity of the bucket.
     pub burst: Tokens,
 }
 
-/// What a refill did to a bucket.
+/// Result of [`TokenBucket::refill`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refill {
-    /// The level that the bucket would have without its limit.
+    /// Level that the bucket would have reached without its capacity limit.
     pub uncapped_level: Tokens,
-    /// The level that it has.
+    /// Level after the refill.
     pub level: Tokens,
 }
 
 impl Refill {
-    /// The tokens that did not fit.
+    /// Returns the number of tokens that exceeded the capacity and were discarded.
     #[must_use]
     pub fn overflow(&self) -> Tokens {
         self.uncapped_level - self.level
     }
 }
 
-/// A number of tokens, refilled over time. The level may go below zero: that is a debt which
-/// refills pay off.
+/// Token bucket that can go into debt: a negative level is paid off by later refills.
 ///
-/// The limits come with each refill, since they may change while the level stays.
+/// The limits are passed to each refill instead of being stored, because they can change while the level
+/// persists. The default bucket is empty.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TokenBucket {
     level: Tokens,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `level` tokens.
+    /// Creates a bucket that holds `level` tokens; a negative level is a debt.
     #[must_use]
     pub fn with_level(level: Tokens) -> Self {
         TokenBucket { level }
     }
 
-    /// The tokens in the bucket; negative when it is overdrawn.
+    /// Returns the number of tokens in the bucket; negative if it is overdrawn.
     #[must_use]
     pub fn level(&self) -> Tokens {
         self.level
     }
 
-    /// Adds the tokens of the time that has passed since the last refill, up to the burst.
+    /// Adds the tokens for the time elapsed since the last refill, up to the capacity.
     pub fn refill(&mut self, limits: BucketLimits, elapsed: Milliseconds) -> Refill {
         let uncapped_level = self.level + limits.refill_rate.over(elapsed);
         self.level = uncapped_level.min(limits.burst);
@@ -60,21 +60,21 @@
         }
     }
 
-    /// Takes tokens, into debt when the bucket holds fewer.
+    /// Takes tokens, going into debt if the bucket holds fewer.
     pub fn take(&mut self, tokens: Tokens) {
         self.level -= tokens;
     }
 
-    /// Takes tokens down to an empty bucket. A bucket in debt stays as it is.
+    /// Takes up to `tokens` without going into debt. A bucket already in debt is left unchanged.
     pub fn take_without_debt(&mut self, tokens: Tokens) {
         self.level = (self.level - tokens).max(self.level.min(Tokens::ZERO));
     }
 
-    /// Takes tokens, or gives them back where `tokens` is negative, between a debt of `burst` and a
-    /// full bucket.
+    /// Takes tokens, or returns them if `tokens` is negative. The resulting level is limited to the range
+    /// from `-burst` to `burst`.
     ///
     /// # Panics
-    /// When `burst` is negative or not a number.
+    /// Panics if `burst` is negative or NaN.
     pub fn settle(&mut self, tokens: Tokens, burst: Tokens) {
         self.level = (self.level - tokens).clamp(-burst, burst);
     }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,10 +1,11 @@
-//! Quantities with a unit: points in time, durations, tokens and token rates.
+//! Quantities with units: timestamps, durations, tokens and token rates.
 //!
-//! Each is a newtype over `f64`, with only the arithmetic that makes sense for it: a duration can be added to a point
-//! in time, two points in time cannot be added. A bare `f64` in this crate is a ratio, a weight or a count.
+//! Each quantity is a newtype over `f64` that supports only meaningful arithmetic: a duration can be added to
+//! a timestamp, but two timestamps cannot be added. A bare `f64` in this crate is a ratio, a weight or a
+//! count.
 //!
-//! Conversions between tokens, durations and rates multiply before they divide. The results of the decision engine
-//! are reproducible to the bit, so the order of these operations is part of their contract.
+//! Conversions between tokens, durations and rates multiply before they divide. This order is part of their
+//! contract, because the results of the decision engine must be bit-for-bit reproducible.
 
 use derive_more::{
     Add, AddAssign, Display, Div, DivAssign, Mul, MulAssign, Neg, Sub, SubAssign, Sum,
@@ -13,26 +14,26 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// What all quantities have: the value 0, the value as a number, and the comparison of two values.
+/// Implements what all quantities share: zero, access to the number, minimum and maximum.
 macro_rules! impl_quantity {
     ($quantity:ident) => {
         impl $quantity {
-            /// The value 0.
+            /// Zero in the unit of the type.
             pub const ZERO: $quantity = $quantity(0.0);
 
-            /// The value as a number, in the unit of the type.
+            /// Returns the number in the unit of the type.
             #[must_use]
             pub const fn as_f64(self) -> f64 {
                 self.0
             }
 
-            /// The lesser of two values.
+            /// Returns the smaller value; if one of the values is NaN, returns the other.
             #[must_use]
             pub fn min(self, other: $quantity) -> $quantity {
                 $quantity(self.0.min(other.0))
             }
 
-            /// The greater of two values.
+            /// Returns the larger value; if one of the values is NaN, returns the other.
             #[must_use]
             pub fn max(self, other: $quantity) -> $quantity {
                 $quantity(self.0.max(other.0))
@@ -41,7 +42,7 @@
     };
 }
 
-/// A quantity whose values can be added, subtracted, scaled and unlimited.
+/// Defines a quantity that supports addition, subtraction and scaling, and has an infinite value.
 macro_rules! amount {
     ($(#[$attribute:meta])* $quantity:ident) => {
         $(#[$attribute])*
@@ -54,10 +55,10 @@
         impl_quantity!($quantity);
 
         impl $quantity {
-            /// More than any finite value.
+            /// Greater than any finite value.
             pub const INFINITY: $quantity = $quantity(f64::INFINITY);
 
-            /// Whether the value is neither infinite nor not a number.
+            /// Returns false for infinities and NaN.
             #[must_use]
             pub fn is_finite(self) -> bool {
                 self.0.is_finite()
@@ -67,34 +68,36 @@
 }
 
 amount! {
-    /// A duration in milliseconds. It is negative for the distance to a point in time that has passed.
+    /// Duration in milliseconds; negative for the time until a point in the past.
     Milliseconds
 }
 
 amount! {
-    /// An amount of quota tokens: the cost of a request, the level of a bucket. It is negative for a debt or a refund.
+    /// Amount of quota tokens, such as the cost of a request or the level of a bucket; negative for a debt or
+    /// a refund.
     Tokens
 }
 
 amount! {
-    /// A rate in quota tokens per second.
+    /// Rate in quota tokens per second.
     TokensPerSecond
 }
 
-/// A point in time: milliseconds on the caller's clock, which has no particular origin and only moves forward.
+/// Point in time, in milliseconds on the caller's clock. The clock has an arbitrary origin and never goes
+/// backwards.
 #[derive(Debug, Display, Clone, Copy, PartialEq, PartialOrd, Default)]
 pub struct Timestamp(pub f64);
 
 impl_quantity!(Timestamp);
 
 impl Milliseconds {
-    /// The duration, rounded up to a whole number of milliseconds.
+    /// Rounds the duration up to a whole number of milliseconds.
     #[must_use]
     pub fn ceil(self) -> Milliseconds {
         Milliseconds(self.0.ceil())
     }
 
-    /// How many times as long as `other` this duration is.
+    /// Returns this duration divided by `other`.
     #[must_use]
     pub fn ratio_to(self, other: Milliseconds) -> f64 {
         self.0 / other.0
@@ -102,22 +105,22 @@
 }
 
 impl Tokens {
-    /// The amount, limited to a range.
+    /// Limits the amount to the range from `min` to `max`.
     ///
     /// # Panics
-    /// When `least` is greater than `most`, or one of them is not a number.
+    /// Panics if `min` is greater than `max` or either of them is NaN.
     #[must_use]
-    pub fn clamp(self, least: Tokens, most: Tokens) -> Tokens {
-        Tokens(self.0.clamp(least.0, most.0))
+    pub fn clamp(self, min: Tokens, max: Tokens) -> Tokens {
+        Tokens(self.0.clamp(min.0, max.0))
     }
 
-    /// The rate at which this amount is used up within `duration`.
+    /// Returns the rate that uses up this amount within `duration`.
     #[must_use]
     pub fn per(self, duration: Milliseconds) -> TokensPerSecond {
         TokensPerSecond(self.0 * MILLISECONDS_PER_SECOND / duration.0)
     }
 
-    /// How long it takes to fill this amount at `rate`.
+    /// Returns the time that it takes to accumulate this amount at `rate`.
     #[must_use]
     pub fn time_at(self, rate: TokensPerSecond) -> Milliseconds {
         Milliseconds(MILLISECONDS_PER_SECOND * self.0 / rate.0)
@@ -125,7 +128,7 @@
 }
 
 impl TokensPerSecond {
-    /// The tokens that flow within `duration`.
+    /// Returns the number of tokens that accumulate at this rate within `duration`.
     #[must_use]
     pub fn over(self, duration: Milliseconds) -> Tokens {
         Tokens(self.0 * duration.0 / MILLISECONDS_PER_SECOND)
@@ -133,9 +136,9 @@
 }
 
 impl Timestamp {
-    /// Before any point in time.
+    /// Earlier than any other timestamp.
     pub const DISTANT_PAST: Timestamp = Timestamp(f64::NEG_INFINITY);
-    /// After any point in time.
+    /// Later than any other timestamp.
     pub const DISTANT_FUTURE: Timestamp = Timestamp(f64::INFINITY);
 }
 
