--- a/src/decisions/quota/tenants.rs
+++ b/src/decisions/quota/tenants.rs
@@ -57,7 +57,6 @@
     }
 }
 
-/// All known tenants by key.
 pub(super) struct Tenants(ExpiringMap<TenantKey, Tenant>);
 
 impl Tenants {
--- a/tests/decisions/concurrency_permits.rs
+++ b/tests/decisions/concurrency_permits.rs
@@ -1,4 +1,4 @@
-//! Concurrency permits: how the quota owner grants, renews and expires them, and how requests wait for one.
+//! Concurrency permits: granting, renewal and expiry at the owner, and requests that wait for a permit.
 
 use crate::support::actions::{Actions, Timer};
 use crate::support::gateway::TestGateway;
@@ -7,29 +7,31 @@
 use crate::support::settings::{SMALL_QUOTA, TWO_PERMITS, fleet_settings, settings_without_gossip};
 use marlshelf::{Action, GatewayId, Plan, Settings, Tokens, TokensPerSecond};
 
-/// A request for one of two permits that a shard of three gateways shares: none has a permit of its own.
+/// A request on a plan with two permits and a shard of three gateways, which have to share the permits.
 fn request_for_shared_permit(id: u64, now_ms: f64) -> TestRequest {
     request(id, now_ms).plan(TWO_PERMITS).shard_size(3)
 }
 
-fn gateway_of_three(gateway: u32) -> TestGateway {
+fn gateway_in_fleet_of_three(gateway: u32) -> TestGateway {
     TestGateway::new(Settings {
         gateway: GatewayId(gateway),
         ..fleet_settings(3)
     })
 }
 
-/// A gateway of three whose first request has to ask the permit owner, with the gossip that it sent.
+/// A gateway that does not own the permits of a fleet of three, and the quota request that it sent for its
+/// first client request.
 struct NonOwner {
     gateway: TestGateway,
     id: u32,
     permit_request: String,
 }
 
-/// The first of three gateways that has to ask. One of them is the owner and does not.
+/// Finds a gateway that sends a quota request for its first client request. The owner of the permits sends
+/// none.
 fn non_owner(first_request_at_ms: f64) -> NonOwner {
-    let asking = (0..3).find_map(|id| {
-        let mut gateway = gateway_of_three(id);
+    let found = (0..3).find_map(|id| {
+        let mut gateway = gateway_in_fleet_of_three(id);
         let actions = gateway.receive(request_for_shared_permit(1, first_request_at_ms));
         let permit_request = gossip_of_kind("p,", &actions)?;
         Some(NonOwner {
@@ -38,10 +40,10 @@
             permit_request,
         })
     });
-    asking.expect("two of three gateways ask the owner")
+    found.expect("two of three gateways ask the owner")
 }
 
-/// The first datagram that begins with a message of this kind.
+/// Returns the first datagram whose first message has this kind.
 fn gossip_of_kind(kind: &str, actions: &[Action]) -> Option<String> {
     actions
         .gossip()
@@ -50,13 +52,13 @@
 }
 
 #[test]
-fn released_permit_goes_to_the_request_that_waits_for_it() {
+fn released_permit_is_granted_to_a_waiting_request() {
     let owner = (0..3u32).find(|id| {
-        let actions = gateway_of_three(*id).receive(request_for_shared_permit(1, 0.0));
+        let actions = gateway_in_fleet_of_three(*id).receive(request_for_shared_permit(1, 0.0));
         actions.forwarded_to().is_some()
     });
     let owner = owner.expect("one of three gateways owns the permits");
-    let mut owner = gateway_of_three(owner);
+    let mut owner = gateway_in_fleet_of_three(owner);
     let mut receive = |id| {
         let now_ms = id as f64 - 1.0;
         owner.receive(request_for_shared_permit(id, now_ms))
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn expired_permits_and_queue_entries_return_to_the_pool() {
+fn expired_permits_are_reused_and_expired_queue_entries_are_dropped() {
     let mut owner = TestGateway::new(fleet_settings(3));
     let mut decide = |number, now_ms| decisions(&mut owner, now_ms, &permit_request(number));
     assert_eq!(decide(1, 1000.0), [Decision::Granted(1)]);
@@ -88,7 +90,7 @@
         [Decision::Queued(3)],
         "both permits are leased"
     );
-    // No gossip returns the permits, so that they expire.
+    // No release message arrives, so the permits expire.
     assert_eq!(
         decide(4, 3000.0),
         [Decision::Granted(3), Decision::Granted(4)],
@@ -141,7 +143,7 @@
     let mut actions = gateway.receive_gossip(now_ms, 0, &grant);
     let endpoint = actions.forwarded_to().expect("the permit is granted");
     for _ in 0..3 {
-        let Timer { token, delay_ms } = actions.request_timer().expect("a timer of the renewal");
+        let Timer { token, delay_ms } = actions.request_timer().expect("a renewal timer is set");
         now_ms += delay_ms;
         actions = gateway.fire_timer(now_ms, token);
         assert!(
@@ -149,7 +151,7 @@
             "expected a renewal at {now_ms} ms, got {actions:?}"
         );
     }
-    let Timer { token, delay_ms } = actions.request_timer().expect("a timer of the renewal");
+    let Timer { token, delay_ms } = actions.request_timer().expect("a renewal timer is set");
     gateway.finish(now_ms + 1.0, success(1, &endpoint, now_ms));
     let actions = gateway.fire_timer(now_ms + delay_ms, token);
     assert!(
@@ -166,7 +168,7 @@
         .forwarded_to()
         .expect("each of two gateways has one permit");
     let waiting = gateway.receive(request(2, 1.0).plan(TWO_PERMITS));
-    let Timer { token, delay_ms } = waiting.timer().expect("the wait has an end");
+    let Timer { token, delay_ms } = waiting.timer().expect("a timer limits the wait");
     assert!(
         waiting.forwarded_to().is_none() && !waiting.is_rejected() && delay_ms <= 1000.0,
         "expected a wait of at most a second, got {waiting:?}"
@@ -196,17 +198,17 @@
 fn wait_for_a_permit_ends_before_the_client_deadline() {
     let mut gateway = TestGateway::new(fleet_settings(2));
     gateway.receive(request(1, 0.0).plan(TWO_PERMITS));
-    let impatient = request(2, 1.0).plan(TWO_PERMITS).client_deadline_ms(61.0);
-    let actions = gateway.receive(impatient);
+    let short_deadline_request = request(2, 1.0).plan(TWO_PERMITS).client_deadline_ms(61.0);
+    let actions = gateway.receive(short_deadline_request);
     let wait_ms = actions.timer().map(|timer| timer.delay_ms);
     assert!(
-        actions.is_rejected() || wait_ms.expect("the wait has an end") <= 30.0,
-        "expected a wait of at most 30 ms for a client that leaves after 60, got {wait_ms:?}"
+        actions.is_rejected() || wait_ms.expect("a timer limits the wait") <= 30.0,
+        "expected a wait of at most 30 ms for a client deadline after 60 ms, got {wait_ms:?}"
     );
 }
 
 #[test]
-fn tokens_return_when_a_client_disconnects_while_waiting_for_a_permit() {
+fn tokens_are_returned_when_a_client_disconnects_while_waiting_for_a_permit() {
     let mut settings = settings_without_gossip();
     settings.plans[SMALL_QUOTA] = Plan {
         refill_rate: TokensPerSecond(0.001),
@@ -235,7 +237,7 @@
 }
 
 #[test]
-fn permit_granted_to_a_request_that_already_took_over_another_is_returned() {
+fn surplus_permit_is_returned_when_the_request_has_already_inherited_one() {
     let NonOwner {
         mut gateway,
         id,
--- a/tests/decisions/fleet_quotas.rs
+++ b/tests/decisions/fleet_quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas over a whole fleet whose gossip is late or lost, measured against the true state of each quota.
+//! Quotas of a simulated fleet with delayed and lost gossip, compared with the exact state of each quota.
 
 use crate::support::quota_fleet::{
     GATEWAYS, HARD_LIMIT_PLAN, LATENCY, quota_fleet_settings, run_quota_fleet,
@@ -14,15 +14,15 @@
     settlement: Tokens,
 }
 
-/// A policy that decides by the true state of each quota as it was 100 to 200 ms ago.
+/// Reference policy that decides on the exact state of each quota, delayed by 100 to 200 ms.
 struct DelayedView<'a> {
     workload: &'a Workload,
-    /// The plan of each tenant.
+    /// Plan of each tenant.
     plans: Vec<&'a Plan>,
     ledgers: Vec<QuotaLedger>,
-    /// The state that decisions see.
+    /// The delayed state on which requests are decided.
     visible: Vec<QuotaLedger>,
-    /// The state that decisions will see next.
+    /// The state that becomes visible at the next update.
     next_visible: Vec<QuotaLedger>,
     next_update: Timestamp,
     in_flight: Vec<AttemptInFlight>,
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn forwarding_over_quota_costs_little_more_than_with_a_delayed_view_of_the_truth() {
+fn over_quota_cost_is_close_to_that_of_a_delayed_exact_view() {
     let settings = quota_fleet_settings();
     for seed in 1..=6 {
         let workload = quiet_day(seed, &settings);
@@ -100,7 +100,7 @@
         let cost = value.over_quota_cost / delayed.within_quota;
         let delayed_cost = delayed.over_quota_cost / delayed.within_quota;
 
-        // The standing test allows a tenth on its own quiet days, where clients retry as well.
+        // The acceptance test allows 0.1 on its own quiet days, on which clients also retry.
         assert!(
             cost <= delayed_cost + 0.05,
             "seed {seed}: expected a cost of at most {delayed_cost:.3} + 0.05 of the value, got {cost:.3}"
@@ -125,9 +125,10 @@
     }
 }
 
-/// Each gateway in turn receives 25 requests of one tenant, and at the end all receive 4 at about the same time.
-fn turns_of_all_gateways() -> Workload {
-    const TURN: Milliseconds = Milliseconds(4000.0);
+/// A workload in which one tenant sends 25 requests to each gateway in turn, then 4 to every gateway at about
+/// the same time.
+fn sequential_then_concurrent_load() -> Workload {
+    const PHASE: Milliseconds = Milliseconds(4000.0);
     let shard = Shard {
         start: GatewayId(0),
         size: GATEWAYS,
@@ -142,10 +143,10 @@
         requests.push(ScheduledRequest { at, request });
     };
     for gateway in 0..GATEWAYS {
-        let turn = Timestamp::ZERO + TURN * f64::from(gateway);
-        (0..25).for_each(|step| add(turn + Milliseconds(160.0) * f64::from(step), gateway));
+        let phase_start = Timestamp::ZERO + PHASE * f64::from(gateway);
+        (0..25).for_each(|step| add(phase_start + Milliseconds(160.0) * f64::from(step), gateway));
     }
-    let end = Timestamp::ZERO + TURN * f64::from(GATEWAYS) + Milliseconds(5000.0);
+    let end = Timestamp::ZERO + PHASE * f64::from(GATEWAYS) + Milliseconds(5000.0);
     for step in 0..4 {
         let at = end + Milliseconds(20.0) * f64::from(step);
         (0..GATEWAYS).for_each(|gateway| add(at, gateway));
@@ -157,9 +158,9 @@
 }
 
 #[test]
-fn hard_limit_holds_when_all_gateways_are_busy_after_each_was_busy_alone() {
+fn hard_limit_holds_under_concurrent_load_after_sequential_load() {
     let settings = quota_fleet_settings();
-    let workload = turns_of_all_gateways();
+    let workload = sequential_then_concurrent_load();
     let fleet = run_quota_fleet(1, &settings, &workload);
     let slack = settings.plans[HARD_LIMIT_PLAN].hard_limit_slack;
     let excess = fleet.ledgers()[0].hard_limit_excess();
--- a/tests/decisions/gossip.rs
+++ b/tests/decisions/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between gateways: malformed input, pacing, and the size of what is reported after a silence.
+//! Gossip between gateways: malformed input, pacing, and the number of reports after an outage.
 
 use crate::support::actions::{Actions, GOSSIP_TIMER};
 use crate::support::gateway::{TestGateway, endpoint};
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn busy_gateway_of_hundreds_asks_the_quota_owners_of_many_tenants_without_delay() {
+fn gateway_in_a_large_fleet_asks_owners_of_many_tenants_without_delay() {
     let sends_gossip = |actions: &[Action]| !actions.gossip().is_empty();
     let mut gateway = TestGateway::new(Settings {
         gossip_intake_per_second: 60.0,
@@ -67,7 +67,7 @@
     );
 }
 
-/// The time between two requests of `use_quotas_without_peers`.
+/// Time between two requests of `send_requests_without_gossip`.
 const REQUEST_INTERVAL_MS: f64 = 500.0;
 
 struct TimedEvent {
@@ -75,7 +75,7 @@
     event: Event,
 }
 
-/// A request that needs the quota of a tenant of its own, and the timers due before it, in the order of time.
+/// Returns a request from a new tenant and all timers due before it, ordered by time.
 fn next_events(id: u64, timers: &mut Vec<TimedEvent>) -> Vec<TimedEvent> {
     let now_ms = REQUEST_INTERVAL_MS * id as f64;
     let received = request(id, now_ms)
@@ -96,8 +96,8 @@
     events
 }
 
-/// Each of 3,000 tenants sends one request, two a second, while the gateway receives no gossip.
-fn use_quotas_without_peers(gateway: &mut TestGateway) {
+/// Sends one request from each of 3,000 tenants, two per second, to a gateway that receives no gossip.
+fn send_requests_without_gossip(gateway: &mut TestGateway) {
     let mut timers = Vec::new();
     for id in 0..3000u64 {
         for TimedEvent { at_ms, event } in next_events(id, &mut timers) {
@@ -127,14 +127,14 @@
 }
 
 #[test]
-fn unconfirmed_usage_reported_after_a_long_silence_is_bounded() {
+fn unconfirmed_usage_reported_after_a_long_gossip_outage_is_bounded() {
     let settings = Settings {
         gateway: GatewayId(0),
         ..quota_fleet_settings()
     };
     let mut gateway = TestGateway::with_endpoints(settings, 7, vec![endpoint("s", 0)]);
-    use_quotas_without_peers(&mut gateway);
-    // The first gossip that arrives makes the gateway report, in as many datagrams as the pacing allows.
+    send_requests_without_gossip(&mut gateway);
+    // The first gossip received triggers the reports, which are paced over several datagrams.
     let mut datagrams = gateway.receive_gossip(1_500_000.0, 1, "").gossip();
     for tick in 1..400 {
         let now_ms = 1_500_000.0 + 50.0 * f64::from(tick);
--- a/tests/decisions/gossip_compatibility.rs
+++ b/tests/decisions/gossip_compatibility.rs
@@ -1,27 +1,29 @@
-//! Compatibility of gossip with the engine of commit 6573de8: gateways of both work together while a fleet is
-//! upgraded. The other side is a recording of that engine, so that a change of the encoder and the decoder
-//! together fails as well.
+//! Gossip compatibility with the engine of commit 6573de8.
+//!
+//! During a rolling upgrade, gateways with the old and the new engine exchange gossip. The tests compare with
+//! a recording of the old engine, because a round trip through the current encoder and decoder would not
+//! detect a change made to both.
 
 use crate::support::actions::Actions;
-use crate::support::gossip_text::{Decision, decisions, decisions_for};
+use crate::support::gossip_text::{Decision, decisions, decisions_for_peer};
 use crate::support::recorded_scenario::{
     GATEWAYS, PERMITS, RecordedScenario, TOKEN_BUCKET, recorded_log, scenario_request,
     start_gateway,
 };
 
-/// Compares two logs line by line. `what` says whose lines these are.
-fn assert_same_lines(what: &str, actual: &[String], expected: &[String]) {
+/// Compares two logs line by line. `label` identifies the log in failure messages.
+fn assert_same_lines(label: &str, actual: &[String], expected: &[String]) {
     for (index, (actual, expected)) in actual.iter().zip(expected).enumerate() {
-        assert_eq!(actual, expected, "{what}: line {index} of the recording");
+        assert_eq!(actual, expected, "{label}: line {index} of the recording");
     }
-    assert_eq!(actual.len(), expected.len(), "{what}: number of lines");
+    assert_eq!(actual.len(), expected.len(), "{label}: number of lines");
 }
 
-/// Whether a message, split into its fields, is of some kind.
-type IsOfKind = fn(&[&str]) -> bool;
+/// Predicate on the fields of a message.
+type KindPredicate = fn(&[&str]) -> bool;
 
 #[test]
-fn recording_holds_every_kind_of_message() {
+fn recording_contains_every_kind_of_message() {
     let gossip = recorded_log(None).gossip;
     let messages: Vec<Vec<&str>> = gossip
         .iter()
@@ -29,7 +31,7 @@
         .flat_map(|text| text.split_terminator(';'))
         .map(|message| message.split(',').collect())
         .collect();
-    let kinds: [(&str, IsOfKind); 11] = [
+    let kinds: [(&str, KindPredicate); 11] = [
         ("a quota request", |m| m[0] == "a"),
         ("a quota request with prefetch", |m| {
             m[0] == "a" && m[5] != "0.0"
@@ -67,9 +69,9 @@
 }
 
 #[test]
-fn gateway_among_recorded_peers_acts_as_its_recorded_counterpart() {
+fn gateway_with_recorded_peers_matches_its_recording() {
     for gateway in 0..GATEWAYS {
-        let actual = RecordedScenario::run_among_recorded_peers(gateway);
+        let actual = RecordedScenario::run_with_recorded_peers(gateway);
         let recorded = recorded_log(Some(gateway));
         assert!(
             !recorded.gossip.is_empty() && !recorded.outcomes.is_empty(),
@@ -83,8 +85,8 @@
 }
 
 #[test]
-fn recorded_decisions_are_carried_out_when_they_arrive() {
-    // The link takes 3.217 ms.
+fn recorded_decisions_take_effect_on_arrival() {
+    // The simulated link has a delay of 3.217 ms.
     for (decision, gateway, outcome) in [
         (
             "1003.217 1 0 g,7257926125,1,c,1.0,0.5,0.5,3.0;",
@@ -110,7 +112,7 @@
                 .any(|line| line == decision),
             "expected {decision} in the recording"
         );
-        let outcomes = RecordedScenario::run_among_recorded_peers(gateway).outcomes;
+        let outcomes = RecordedScenario::run_with_recorded_peers(gateway).outcomes;
         match outcome {
             Some(outcome) => assert!(
                 outcomes.iter().any(|line| line == outcome),
@@ -166,7 +168,7 @@
 #[test]
 fn owner_charges_recorded_unconfirmed_usage_and_returns() {
     let mut owner = start_gateway(1);
-    let mut decide = |text| decisions_for(0, &mut owner, 1000.0, text);
+    let mut decide = |text| decisions_for_peer(0, &mut owner, 1000.0, text);
     assert_eq!(
         decide("a,7257926125,0,c,1.0,0.0,1.0,400;"),
         [Decision::Granted(0xc)]
@@ -181,7 +183,7 @@
         [Decision::Granted(0xe)],
         "two of four tokens are left"
     );
-    // The owner keeps a margin of some hundredths for usage that is not settled.
+    // The owner holds back a few hundredths of a token for unsettled usage.
     assert_eq!(
         decide("a,7257926125,0,10,1.0,0.0,1.0,400;"),
         [Decision::Denied(0x10)],
--- a/tests/decisions/hard_limits.rs
+++ b/tests/decisions/hard_limits.rs
@@ -1,4 +1,4 @@
-//! The hard limit on a tenant's tokens, which all gateways together keep even without gossip.
+//! The fleet-wide hard limit on a tenant's tokens, which must hold even without gossip.
 
 use crate::support::gateway::TestGateway;
 use crate::support::requests::{request, success};
@@ -6,16 +6,16 @@
 use marlshelf::{Action, Event, GatewayId, Milliseconds, RequestId, Settings, TimerToken};
 
 const GATEWAYS: usize = 4;
-/// What a limit of 4 tokens a second and a burst of 16 with a slack of 2 allows in ten seconds.
+/// Maximum within ten seconds: a burst of 16, a slack of 2, and 4 tokens per second.
 const MAX_FORWARDED: usize = 58;
 
-/// How 400 requests of ten seconds reach four gateways.
+/// A load of 400 requests over ten seconds on four gateways.
 #[derive(Clone, Copy, Debug)]
 struct Overload {
     /// Whether all requests arrive at one gateway.
-    at_one_gateway: bool,
-    /// Of three gossip datagrams, how many are lost.
-    lost_of_three: u64,
+    single_gateway: bool,
+    /// Number of lost datagrams out of every three.
+    lost_of_every_three: u64,
     /// Whether all gateways restart after five seconds.
     restart: bool,
 }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns how many requests were forwarded.
+    /// Returns the number of forwarded requests.
     fn run(mut self) -> usize {
         for id in 0..400u64 {
             let now_ms = 60_000.0 + 25.0 * id as f64;
@@ -55,11 +55,11 @@
                 self.gateways = start_gateways();
                 self.timers.clear();
             }
-            let all_in_turn = (id % GATEWAYS as u64) as usize;
-            let gateway = if self.overload.at_one_gateway {
+            let round_robin_gateway = (id % GATEWAYS as u64) as usize;
+            let gateway = if self.overload.single_gateway {
                 3
             } else {
-                all_in_turn
+                round_robin_gateway
             };
             let received = request(id, now_ms)
                 .plan(HARD_LIMIT)
@@ -94,7 +94,7 @@
                 text,
             } => {
                 self.datagrams += 1;
-                if self.datagrams % 3 >= self.overload.lost_of_three {
+                if self.datagrams % 3 >= self.overload.lost_of_every_three {
                     let from = gateway as u32;
                     let received = Event::GossipReceived {
                         from: GatewayId(from),
@@ -137,10 +137,10 @@
 }
 
 #[test]
-fn hard_limit_is_available_to_the_gateway_that_receives_all_requests() {
+fn single_gateway_receiving_all_requests_can_use_the_whole_hard_limit() {
     let forwarded = Simulation::new(Overload {
-        at_one_gateway: true,
-        lost_of_three: 0,
+        single_gateway: true,
+        lost_of_every_three: 0,
         restart: false,
     })
     .run();
@@ -152,11 +152,11 @@
 
 #[test]
 fn hard_limit_holds_for_all_gateways_together_despite_lost_gossip_and_restarts() {
-    for (at_one_gateway, restart) in [(true, true), (false, false), (false, true)] {
-        for lost_of_three in 0..=3 {
+    for (single_gateway, restart) in [(true, true), (false, false), (false, true)] {
+        for lost_of_every_three in 0..=3 {
             let overload = Overload {
-                at_one_gateway,
-                lost_of_three,
+                single_gateway,
+                lost_of_every_three,
                 restart,
             };
             let forwarded = Simulation::new(overload).run();
--- a/tests/decisions/quota_leases.rs
+++ b/tests/decisions/quota_leases.rs
@@ -1,5 +1,4 @@
-//! Gateways that do not own a tenant's quota: their requests to the owner, prefetched tokens, and what they do
-//! while the owner is silent.
+//! Quota clients: requests to the owner, prefetched tokens, and behaviour while the owner does not respond.
 
 use crate::support::actions::Timer;
 use crate::support::gateway::{TestGateway, endpoint};
@@ -9,7 +8,7 @@
 use marlshelf::{Action, Event, GatewayId, Milliseconds, Settings, TimerToken, TokensPerSecond};
 
 #[test]
-fn request_is_forwarded_on_the_fallback_quota_when_the_owner_does_not_respond() {
+fn fallback_quota_admits_request_when_the_owner_does_not_respond() {
     let mut pair = GatewayPair::new(&settings());
     pair.partitioned = true;
     for gateway in [0, 1] {
@@ -74,15 +73,16 @@
     }
 }
 
-/// Tokens of a bucket of 4 that were used during and after a partition.
+/// Requests forwarded on a bucket of 4 tokens during and after a partition.
 struct PartitionUsage {
-    /// Forwarded by the other gateway while it could not reach the owner.
-    unconfirmed: usize,
+    /// Forwarded by the client while it could not reach the owner.
+    forwarded_during: usize,
     /// Granted by the owner right after the partition.
-    left: usize,
+    granted_after: usize,
 }
 
-/// Ten requests arrive at the gateway in four seconds during a partition. Returns how many it forwards.
+/// Sends ten requests over four seconds to a gateway that is partitioned from the owner. Returns the number
+/// forwarded.
 fn forwarded_during_partition(pair: &mut GatewayPair, gateway: usize) -> usize {
     let mut timers: Vec<(f64, u64)> = Vec::new();
     let mut forwarded = 0;
@@ -109,63 +109,74 @@
             {
                 timers.push((now_ms + delay_ms, token));
             }
-            pair.answer_at_once(now_ms, entry);
+            pair.complete_attempt(now_ms, entry);
         }
         forwarded += forwarded_count(&actions);
     }
     forwarded
 }
 
-/// Partitions two gateways of a tenant with this refill rate and lets them meet again.
-fn usage_around_a_partition(refill_rate: f64) -> PartitionUsage {
+/// Partitions two gateways that serve a tenant with the given refill rate, then reconnects them.
+fn usage_across_partition(refill_rate: f64) -> PartitionUsage {
     let mut settings = settings();
     settings.plans[SMALL_QUOTA] = quota_plan(refill_rate, 4.0);
     let mut pair = GatewayPair::new(&settings);
     let gateway = pair.receive_at_non_owner(0.0).gateway;
     let owner = 1 - gateway;
     pair.partitioned = true;
-    let unconfirmed = forwarded_during_partition(&mut pair, gateway);
+    let forwarded_during = forwarded_during_partition(&mut pair, gateway);
     pair.partitioned = false;
     let first_gossip = Event::GossipReceived {
         from: GatewayId(owner as u32),
         text: String::new(),
     };
     pair.handle(gateway, 5000.0, first_gossip);
-    let left = (0..10)
+    let granted_after = (0..10)
         .map(|index| pair.serve(owner, 1000 + index, 5000.0))
         .sum();
-    PartitionUsage { unconfirmed, left }
+    PartitionUsage {
+        forwarded_during,
+        granted_after,
+    }
 }
 
 #[test]
 fn usage_during_a_partition_is_charged_once_it_heals() {
-    let PartitionUsage { unconfirmed, left } = usage_around_a_partition(0.1);
+    let PartitionUsage {
+        forwarded_during,
+        granted_after,
+    } = usage_across_partition(0.1);
     assert!(
-        unconfirmed >= 2,
-        "expected at least 2 forwarded during the partition, got {unconfirmed}"
+        forwarded_during >= 2,
+        "expected at least 2 forwarded during the partition, got {forwarded_during}"
     );
     assert!(
-        unconfirmed + left <= 5,
-        "expected at most 5 of a burst of 4, got {unconfirmed} during the partition and {left} after"
+        forwarded_during + granted_after <= 5,
+        "expected at most 5 of a burst of 4, got {forwarded_during} during the partition \
+         and {granted_after} after"
     );
 }
 
 #[test]
-fn usage_during_a_partition_is_charged_to_the_overflow_of_a_full_bucket_first() {
-    let PartitionUsage { unconfirmed, left } = usage_around_a_partition(2.0);
+fn usage_during_a_partition_is_charged_first_to_the_overflow_of_a_full_bucket() {
+    let PartitionUsage {
+        forwarded_during,
+        granted_after,
+    } = usage_across_partition(2.0);
     assert!(
-        unconfirmed >= 2 && left == 4,
-        "expected at least 2 during the partition and a full bucket of 4 after, got {unconfirmed} and {left}"
+        forwarded_during >= 2 && granted_after == 4,
+        "expected at least 2 during the partition and a full bucket of 4 after, \
+         got {forwarded_during} and {granted_after}"
     );
 }
 
 #[test]
-fn restarted_gateway_does_not_repeat_request_numbers_of_its_former_incarnation() {
+fn restarted_gateway_does_not_reuse_request_ids_of_an_earlier_incarnation() {
     let mut settings = settings();
     settings.plans[SMALL_QUOTA].refill_rate = TokensPerSecond(0.01);
     let mut pair = GatewayPair::new(&settings);
     let gateway = pair.receive_at_non_owner(0.0).gateway;
-    let of_incarnation = |incarnation: u64| {
+    let start_incarnation = |incarnation: u64| {
         let settings = Settings {
             gateway_count: 2,
             gateway: GatewayId(gateway as u32),
@@ -176,13 +187,13 @@
     let mut granted = 0;
     for incarnation in 0..20u64 {
         let now_ms = 1000.0 + 100.0 * incarnation as f64;
-        pair.gateways[gateway] = of_incarnation(incarnation);
+        pair.gateways[gateway] = start_incarnation(incarnation);
         pair.gateways[gateway].replace_endpoints(now_ms, vec![endpoint("a", 0)]);
         granted += pair.serve(gateway, 10 + incarnation, now_ms);
     }
     assert!(
         granted <= 4,
         "expected at most the burst of 4 over 20 incarnations, got {granted}: \
-         the owner took requests for retries of former ones"
+         the owner mistook new requests for retries of earlier ones"
     );
 }
--- a/tests/decisions/quota_owner.rs
+++ b/tests/decisions/quota_owner.rs
@@ -1,4 +1,4 @@
-//! The quota owner of a tenant: its token bucket, what it charges, and what it charges once only.
+//! Quota owners: refill of the token bucket, charging, and detection of repeated requests.
 
 use crate::support::actions::Actions;
 use crate::support::gateway::TestGateway;
@@ -12,7 +12,7 @@
 };
 use marlshelf::{Action, AttemptOutcome, Milliseconds, Settings, Tokens, TokensPerSecond};
 
-/// A quota owner of three gateways whose gossip is not paced.
+/// A quota owner in a fleet of three gateways, with a gossip rate limit high enough to avoid pacing delays.
 fn quota_owner(settings: Settings) -> TestGateway {
     TestGateway::new(Settings {
         gateway_count: 3,
@@ -24,14 +24,15 @@
 #[test]
 fn token_bucket_holds_its_burst_and_refills_at_its_rate() {
     let mut gateway = TestGateway::new(settings());
-    let at_first = gateway.count_served(0..10, |id| request(id, id as f64).plan(SMALL_QUOTA));
-    assert_eq!(at_first, 4, "the burst is 4");
-    let a_second_later = gateway.count_served(10..20, |id| {
+    let served_initially =
+        gateway.count_served(0..10, |id| request(id, id as f64).plan(SMALL_QUOTA));
+    assert_eq!(served_initially, 4, "the burst is 4");
+    let served_after_refill = gateway.count_served(10..20, |id| {
         request(id, 1000.0 + id as f64).plan(SMALL_QUOTA)
     });
     assert!(
-        (1..=2).contains(&a_second_later),
-        "expected 1 or 2 served a second later at a refill rate of 2, got {a_second_later}"
+        (1..=2).contains(&served_after_refill),
+        "expected 1 or 2 served a second later at a refill rate of 2, got {served_after_refill}"
     );
 }
 
@@ -39,19 +40,19 @@
 fn gateways_of_a_shard_share_one_token_bucket() {
     for gateway in [0, 1] {
         let mut pair = GatewayPair::new(&settings());
-        let in_three_seconds: usize = (0..30)
+        let served_over_three_seconds: usize = (0..30)
             .map(|id| pair.serve(gateway, id, 100.0 * id as f64))
             .sum();
         assert!(
-            (7..=10).contains(&in_three_seconds),
-            "expected 7 to 10 of a burst of 4 and 2 a second, got {in_three_seconds}"
+            (7..=10).contains(&served_over_three_seconds),
+            "expected 7 to 10 of a burst of 4 and 2 a second, got {served_over_three_seconds}"
         );
-        let at_once: usize = (40..60u64)
+        let served_in_one_burst: usize = (40..60u64)
             .map(|id| pair.serve((id % 2) as usize, id, 9000.0 + id as f64))
             .sum();
         assert!(
-            (3..=4).contains(&at_once),
-            "expected 3 or 4 at once through two gateways, got {at_once}"
+            (3..=4).contains(&served_in_one_burst),
+            "expected 3 or 4 at once through two gateways, got {served_in_one_burst}"
         );
     }
 }
@@ -100,8 +101,8 @@
     assert_eq!(decide(&small_quota_request(4)), [Decision::Denied(4)]);
 }
 
-/// How many of 20 requests of this cost the owner of a bucket of 12 tokens grants.
-fn granted_of_a_bucket_of_12(gateway_count: u32, cost: f64) -> usize {
+/// Returns how many of 20 requests with this cost are granted from a bucket of 12 tokens.
+fn count_granted_from_bucket_of_12(gateway_count: u32, cost: f64) -> usize {
     let mut owner = TestGateway::new(Settings {
         gateway_count,
         max_request_cost: Tokens(12.0),
@@ -119,15 +120,15 @@
 }
 
 #[test]
-fn owner_keeps_a_margin_for_unsettled_usage_when_gateways_are_many() {
-    let few = granted_of_a_bucket_of_12(2, 1.0);
-    let many = granted_of_a_bucket_of_12(100, 1.0);
+fn owner_holds_back_tokens_for_unsettled_usage_in_a_large_fleet() {
+    let granted_small = count_granted_from_bucket_of_12(2, 1.0);
+    let granted_large = count_granted_from_bucket_of_12(100, 1.0);
     assert!(
-        few > many && many >= 6,
-        "expected at least 6 grants for 100 gateways and more for 2, got {many} and {few}"
+        granted_small > granted_large && granted_large >= 6,
+        "expected at least 6 grants for 100 gateways and more for 2, got {granted_large} and {granted_small}"
     );
     assert_eq!(
-        granted_of_a_bucket_of_12(100, 12.0),
+        count_granted_from_bucket_of_12(100, 12.0),
         1,
         "a full bucket serves the largest request"
     );
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn rejection_over_quota_advises_to_retry_once_the_tokens_are_there() {
+fn rejection_over_quota_advises_a_retry_when_the_tokens_are_available() {
     let retry_after_ms = |actions: &[Action]| match actions {
         [
             Action::Reject {
@@ -173,20 +174,20 @@
         receive(1, 0.0, 4.0).forwarded_to().is_some(),
         "the bucket holds 4 tokens"
     );
-    let two_tokens_missing = retry_after_ms(&receive(2, 0.0, 2.0));
+    let retry_after_at_0_ms = retry_after_ms(&receive(2, 0.0, 2.0));
     assert!(
-        (two_tokens_missing - 1000.0).abs() <= 1.0,
-        "expected 1000 ms for 2 tokens at 2 a second, got {two_tokens_missing}"
+        (retry_after_at_0_ms - 1000.0).abs() <= 1.0,
+        "expected 1000 ms for 2 tokens at 2 a second, got {retry_after_at_0_ms}"
     );
-    let a_tenth_of_a_second_later = retry_after_ms(&receive(3, 100.0, 2.0));
+    let retry_after_at_100_ms = retry_after_ms(&receive(3, 100.0, 2.0));
     assert!(
-        (a_tenth_of_a_second_later - 900.0).abs() <= 1.0,
-        "expected 900 ms, got {a_tenth_of_a_second_later}"
+        (retry_after_at_100_ms - 900.0).abs() <= 1.0,
+        "expected 900 ms, got {retry_after_at_100_ms}"
     );
-    let within_the_latency_objective = retry_after_ms(&receive(4, 300.0, 2.0));
+    let retry_after_at_300_ms = retry_after_ms(&receive(4, 300.0, 2.0));
     assert!(
-        within_the_latency_objective == 0.0,
-        "expected no advice within the latency objective, got {within_the_latency_objective}"
+        retry_after_at_300_ms == 0.0,
+        "expected no advice within the latency objective, got {retry_after_at_300_ms}"
     );
 }
 
@@ -204,7 +205,7 @@
 #[test]
 fn usage_on_one_plan_does_not_change_the_hard_limit_of_another() {
     let count_served = |gateway: &mut TestGateway| {
-        // From 1 s to 2 s: the hard limit refills by four tokens meanwhile.
+        // Requests arrive from 1 s to 2 s, during which the hard limit refills by four tokens.
         gateway.count_served(100..200, |id| {
             request(id, 10.0 * id as f64).plan(HARD_LIMIT)
         })
@@ -214,8 +215,11 @@
         gateway.serve(request(1, 0.0).plan(AMPLE_QUOTA)),
         "the quota of this plan is ample"
     );
-    let beside = count_served(&mut gateway);
-    let alone = count_served(&mut TestGateway::new(settings_without_gossip()));
-    assert!(alone > 0, "the hard limit admits some requests");
-    assert_eq!(beside, alone, "served under the hard limit");
+    let served_after_other_plan = count_served(&mut gateway);
+    let served_alone = count_served(&mut TestGateway::new(settings_without_gossip()));
+    assert!(served_alone > 0, "the hard limit admits some requests");
+    assert_eq!(
+        served_after_other_plan, served_alone,
+        "served under the hard limit"
+    );
 }
--- a/tests/decisions/support/gateway_pair.rs
+++ b/tests/decisions/support/gateway_pair.rs
@@ -1,4 +1,4 @@
-//! Two gateways of one tenant's shard and the gossip link between them.
+//! Two gateways that form one tenant's shard, and the gossip link between them.
 
 use super::actions::{Actions, Timer};
 use super::gateway::TestGateway;
@@ -6,7 +6,6 @@
 use super::settings::SMALL_QUOTA;
 use marlshelf::{Action, Event, GatewayId, RequestId, Settings, TimerToken};
 
-/// The most bytes that a gossip datagram may hold.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 pub struct GatewayPair {
@@ -15,38 +14,37 @@
     pub partitioned: bool,
 }
 
-/// An action of one of the two gateways.
+/// An action returned by one of the two gateways.
 #[derive(Debug)]
 pub struct PairAction {
     pub gateway: usize,
     pub action: Action,
 }
 
-/// A request at the gateway that does not own the tenant's quota, without a decision of the owner.
+/// A request for which a gateway has asked the owner without getting a decision.
 pub struct UndecidedRequest {
     pub gateway: usize,
-    /// When the gateway acts without the decision.
+    /// The timer at which the gateway proceeds without the decision.
     pub timer: Timer,
 }
 
-/// How many attempts the actions start.
 pub fn forwarded_count(actions: &[PairAction]) -> usize {
     actions
         .iter()
-        .filter(|entry| matches!(entry.action, Action::Forward { .. }))
+        .filter(|pair_action| matches!(pair_action.action, Action::Forward { .. }))
         .count()
 }
 
-/// The first timer of a request among the actions.
+/// Returns the first timer set for a request.
 pub fn request_timer(actions: &[PairAction]) -> Option<Timer> {
     actions
         .iter()
-        .find_map(|entry| std::slice::from_ref(&entry.action).request_timer())
+        .find_map(|pair_action| std::slice::from_ref(&pair_action.action).request_timer())
 }
 
 impl GatewayPair {
     pub fn new(settings: &Settings) -> Self {
-        let of_gateway = |gateway| {
+        let start_gateway = |gateway| {
             TestGateway::new(Settings {
                 gateway,
                 gateway_count: 2,
@@ -54,15 +52,15 @@
             })
         };
         GatewayPair {
-            gateways: [of_gateway(GatewayId(0)), of_gateway(GatewayId(1))],
+            gateways: [start_gateway(GatewayId(0)), start_gateway(GatewayId(1))],
             partitioned: false,
         }
     }
 
-    /// Hands an event to a gateway and delivers gossip until there is none left. Returns all other actions.
+    /// Passes an event to a gateway and delivers all resulting gossip. Returns the other actions.
     pub fn handle(&mut self, gateway: usize, now_ms: f64, event: Event) -> Vec<PairAction> {
         let mut pending = vec![(gateway, event)];
-        let mut others = Vec::new();
+        let mut other_actions = Vec::new();
         while let Some((gateway, event)) = pending.pop() {
             for action in self.gateways[gateway].handle(now_ms, event) {
                 match action {
@@ -82,11 +80,11 @@
                             },
                         ));
                     }
-                    action => others.push(PairAction { gateway, action }),
+                    action => other_actions.push(PairAction { gateway, action }),
                 }
             }
         }
-        others
+        other_actions
     }
 
     pub fn receive(&mut self, gateway: usize, request: TestRequest) -> Vec<PairAction> {
@@ -103,29 +101,31 @@
         )
     }
 
-    /// Receives a request on the small quota and answers every attempt at once. Returns how many there were.
+    /// Receives a request on the small quota and completes every attempt immediately. Returns the number of
+    /// attempts.
     pub fn serve(&mut self, gateway: usize, id: u64, now_ms: f64) -> usize {
         let actions = self.receive(gateway, request(id, now_ms).plan(SMALL_QUOTA));
-        for entry in &actions {
-            self.answer_at_once(now_ms, entry);
+        for pair_action in &actions {
+            self.complete_attempt(now_ms, pair_action);
         }
         forwarded_count(&actions)
     }
 
-    /// If the action starts an attempt, the endpoint answers it.
-    pub fn answer_at_once(&mut self, now_ms: f64, entry: &PairAction) {
+    /// Completes the attempt successfully if the action starts one.
+    pub fn complete_attempt(&mut self, now_ms: f64, pair_action: &PairAction) {
         if let Action::Forward {
             request: RequestId(request),
             endpoint,
             ..
-        } = &entry.action
+        } = &pair_action.action
         {
             let answered = Event::AttemptFinished(success(*request, endpoint, 5.0));
-            self.handle(entry.gateway, now_ms, answered);
+            self.handle(pair_action.gateway, now_ms, answered);
         }
     }
 
-    /// Sends a request to both gateways, during a partition, until one waits for the owner of the quota.
+    /// Partitions the gateways and sends a request to each until one of them waits for the quota owner, then
+    /// restores the link.
     pub fn receive_at_non_owner(&mut self, now_ms: f64) -> UndecidedRequest {
         let partitioned = std::mem::replace(&mut self.partitioned, true);
         let undecided = (0..2).find_map(|gateway| {
--- a/tests/decisions/support/quota_fleet.rs
+++ b/tests/decisions/support/quota_fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of gateways that share quotas over a network with late and lost gossip.
+//! A simulated fleet whose gateways share quotas over a network with delayed and lost gossip.
 
 use super::workload::Workload;
 use marlshelf::{Milliseconds, Plan, RequestClass, Settings, Tokens, TokensPerSecond};
@@ -11,21 +11,20 @@
 use rand_pcg::Pcg64Mcg;
 
 pub const GATEWAYS: u32 = 40;
-/// How long each attempt takes.
+/// Duration of each attempt.
 pub const LATENCY: Milliseconds = Milliseconds(150.0);
-/// A plan of `quota_fleet_settings` with nothing but a token bucket.
+/// A plan of `quota_fleet_settings` with a token bucket only.
 pub const QUOTA_PLAN: usize = 1;
 /// The plan of `quota_fleet_settings` with a hard limit.
 pub const HARD_LIMIT_PLAN: usize = 3;
-/// The fraction of all gossip that is lost.
+/// Fraction of the gossip that is lost.
 const GOSSIP_LOSS: f64 = 0.05;
-/// How long a client waits for its answer.
 const CLIENT_TIMEOUT: Milliseconds = Milliseconds(4000.0);
 const ENDPOINTS: usize = 30;
-/// More than an endpoint ever uses, so that each attempt takes the same time.
+/// More than an endpoint ever uses, so that all attempts take the same time.
 const CORES: usize = 100;
 
-/// A fleet with plans of each kind of limit.
+/// Settings with a plan for each kind of limit.
 pub fn quota_fleet_settings() -> Settings {
     let plan = |refill_rate, burst, weight, over_quota_penalty| Plan {
         refill_rate: TokensPerSecond(refill_rate),
@@ -66,7 +65,7 @@
     }
 }
 
-/// Endpoints that serve every request in the same time.
+/// Endpoints with a constant service time.
 fn endpoints() -> EndpointPool {
     EndpointPool {
         count: ENDPOINTS,
@@ -87,7 +86,7 @@
     }
 }
 
-/// Runs the whole workload through a fleet, and returns the true state of all quotas at the end.
+/// Runs the workload through a fleet and returns the exact state of all quotas at the end.
 pub fn run_quota_fleet<'a>(
     seed: u64,
     settings: &'a Settings,
--- a/tests/decisions/support/recorded_gossip.rs
+++ b/tests/decisions/support/recorded_gossip.rs
@@ -1,8 +1,9 @@
-//! What three gateways at commit 6573de8 did in the scenario of `recorded_scenario`.
+//! Recording of three gateways at commit 6573de8 in the scenario of `recorded_scenario`.
 //!
-//! That engine is on other hosts while a fleet is upgraded, so the text must not be changed to fit a new engine.
+//! Hosts run that engine during a rolling upgrade, so the recording must not be changed to match a newer
+//! engine.
 
-/// Each datagram: when it was sent in milliseconds, its sender, its receiver and its text.
+/// One datagram per line: time sent in milliseconds, sender, receiver and text.
 pub const GOSSIP: &str = "\
 1000 0 1 a,7257926125,0,c,1.0,0.0,1.0,400;
 1003.217 1 0 g,7257926125,1,c,1.0,0.5,0.5,3.0;
@@ -163,8 +164,8 @@
 6315.433 2 0 t,108f28a49af,1,23,0.0;
 ";
 
-/// Each attempt that was started and each request that was rejected: when, and at which gateway. A number after a
-/// rejected request is its retry-after in milliseconds, a letter after a forwarded one its endpoint.
+/// One started attempt or rejected request per line: time in milliseconds, gateway, outcome and request id. A
+/// rejected request is followed by its retry-after delay in milliseconds, a forwarded one by its endpoint.
 pub const OUTCOMES: &str = "\
 1006.434 0 forward 0 b
 1016.434 1 forward 100 b
--- a/tests/decisions/support/recorded_scenario.rs
+++ b/tests/decisions/support/recorded_scenario.rs
@@ -1,10 +1,10 @@
-//! The scenario that `recorded_gossip` is a recording of: three gateways, a tenant for each kind of plan, slow
-//! attempts that have to renew their permits, and a partition.
+//! The scenario recorded in `recorded_gossip`: three gateways, one tenant per kind of plan, slow attempts
+//! whose permits must be renewed, and a partition.
 //!
-//! It is no scenario of a `marlshelf_simulation::Fleet`: a run may replace all gateways but one by their recorded
-//! gossip, and the ids, latencies and costs of its requests are part of the recording.
+//! The scenario does not use `marlshelf_simulation::Fleet`, because a run may replace all gateways but one by
+//! their recorded gossip, and because the request ids, latencies and costs are part of the recording.
 //!
-//! Everything here is fixed. A change of a number needs a new recording by the engine of the recorded commit.
+//! All values here are fixed: changing one requires a new recording with the engine of the recorded commit.
 
 use super::gateway::{TestGateway, default_endpoints};
 use super::recorded_gossip::{GOSSIP, OUTCOMES};
@@ -17,21 +17,21 @@
 use std::ops::Range;
 
 pub const GATEWAYS: u32 = 3;
-/// The engine of gateway n has this seed plus n.
+/// Seed of gateway 0. The seed of gateway n is greater by n.
 const FIRST_SEED: u64 = 11;
 const LINK_DELAY_MS: f64 = 3.217;
-/// All gossip that is sent in this time is lost.
+/// Gossip sent during this time is lost.
 const PARTITION_MS: Range<f64> = 2000.0..3200.0;
 
-/// A tenant with a token bucket that its requests exhaust.
+/// Tenant whose requests exhaust its token bucket.
 pub const TOKEN_BUCKET: usize = 0;
-/// A tenant with two concurrency permits, which the gateways share.
+/// Tenant with two concurrency permits shared by the gateways.
 pub const PERMITS: usize = 1;
-/// A tenant with a token bucket and two concurrency permits.
+/// Tenant with a token bucket and two concurrency permits.
 const TOKEN_BUCKET_AND_PERMITS: usize = 2;
-/// A tenant with a hard limit that its requests exhaust.
+/// Tenant whose requests exhaust its hard limit.
 const HARD_LIMIT: usize = 3;
-/// A tenant whose requests arrive so fast at one gateway that it prefetches tokens.
+/// Tenant that sends requests to one gateway fast enough to trigger prefetching.
 const PREFETCH: usize = 4;
 
 fn settings() -> Settings {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Every third request is slow, so that both permits are in use at times.
+/// Every third request is slow, so that both permits are sometimes in use.
 fn latency_ms(request: u64) -> f64 {
     if request.is_multiple_of(3) {
         1100.0
@@ -92,12 +92,12 @@
     }
 }
 
-/// The estimate of every fifth request is one token too low.
+/// The estimated cost of every fifth request is one token too low.
 fn actual_cost(request: u64) -> Option<f64> {
     request.is_multiple_of(5).then_some(2.0)
 }
 
-/// A request of the tenant that has this plan.
+/// Returns a request of the tenant with this plan.
 pub fn scenario_request(id: u64, now_ms: f64, plan: usize) -> TestRequest {
     let tenant = match plan {
         TOKEN_BUCKET => "token-bucket",
@@ -112,29 +112,28 @@
         .shard_size(GATEWAYS)
 }
 
-/// Something that happens to a gateway.
 struct GatewayEvent {
     gateway: u32,
     event: Event,
 }
 
-/// Three gateways, or one of them among recorded peers.
+/// Three live gateways, or one live gateway whose peers are replaced by their recorded gossip.
 pub struct RecordedScenario {
     gateways: Vec<Option<TestGateway>>,
     queue: EventQueue<GatewayEvent>,
     log: ScenarioLog,
 }
 
-/// What the gateways of a run did, one line each, as in the recording.
+/// Output of the gateways in the line format of the recording.
 #[derive(Default)]
 pub struct ScenarioLog {
-    /// The time, sender, receiver and text of each datagram that was sent.
+    /// Time, sender, receiver and text of each datagram sent.
     pub gossip: Vec<String>,
-    /// The time and gateway of each attempt that was started and of each request that was rejected or failed.
+    /// Time and gateway of each started attempt and of each rejected or failed request.
     pub outcomes: Vec<String>,
 }
 
-/// A line of the recorded gossip.
+/// A parsed line of the recorded gossip.
 struct RecordedDatagram<'a> {
     sent_at_ms: f64,
     from: u32,
@@ -157,7 +156,7 @@
     }
 }
 
-/// What the gateway did in the recorded run, or all gateways.
+/// Returns the recorded lines of one gateway, or of all gateways if `gateway` is `None`.
 pub fn recorded_log(gateway: Option<u32>) -> ScenarioLog {
     let of_gateway = |line: &&str| {
         let name = line.split(' ').nth(1);
@@ -174,14 +173,14 @@
 }
 
 impl RecordedScenario {
-    /// Runs all three gateways, which send gossip to each other.
+    /// Runs all three gateways, connected to each other.
     pub fn run_all() -> ScenarioLog {
         let gateways = (0..GATEWAYS).map(|gateway| Some(start_gateway(gateway)));
         Self::with_gateways(gateways.collect()).run()
     }
 
     /// Runs one gateway, which receives the recorded gossip of the others.
-    pub fn run_among_recorded_peers(gateway: u32) -> ScenarioLog {
+    pub fn run_with_recorded_peers(gateway: u32) -> ScenarioLog {
         let gateways = (0..GATEWAYS).map(|id| (id == gateway).then(|| start_gateway(id)));
         let mut scenario = Self::with_gateways(gateways.collect());
         for datagram in GOSSIP.lines().map(RecordedDatagram::parse) {
@@ -240,7 +239,7 @@
         self.queue.schedule(Timestamp(at_ms), event);
     }
 
-    /// Delivers a datagram after the delay of the link, if there is no partition.
+    /// Schedules the delivery of a datagram, unless it was sent during the partition.
     fn deliver(&mut self, sent_at_ms: f64, from: u32, to: u32, text: String) {
         if !PARTITION_MS.contains(&sent_at_ms) {
             let arrives_at_ms = sent_at_ms + LINK_DELAY_MS;
@@ -256,8 +255,8 @@
     }
 
     fn execute(&mut self, now_ms: f64, gateway: u32, action: Action) {
-        let mut log_outcome = |what: String| {
-            let line = format!("{now_ms} {gateway} {what}");
+        let mut log_outcome = |outcome_text: String| {
+            let line = format!("{now_ms} {gateway} {outcome_text}");
             self.log.outcomes.push(line);
         };
         match action {
@@ -308,7 +307,7 @@
     }
 }
 
-/// A gateway of the scenario, which has not received any request.
+/// Starts a gateway with the settings, seed and endpoints of the recording.
 pub fn start_gateway(gateway: u32) -> TestGateway {
     let settings = Settings {
         gateway: GatewayId(gateway),
--- a/tests/settings/documents.rs
+++ b/tests/settings/documents.rs
@@ -1,4 +1,4 @@
-//! Reading of the serialized settings.
+//! Parsing of the settings document.
 
 use crate::samples::{
     COMPLETE_SETTINGS, REQUIRED_SETTINGS, both_documents, class, complete_settings, parse,
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The values that the gateway's host takes from the document itself.
+/// Values that the gateway process reads directly from the document.
 #[derive(Debug, PartialEq)]
 struct HostValues {
     connect_timeout_ms: f64,
@@ -113,7 +113,7 @@
         assert_empty_lists(&document);
         assert_eq!(document.gateway_count(), 1);
         assert_eq!(document.discovery_mode, DiscoveryMode::Automatic);
-        // No deadline is stated, so the longest wait of 3000 ms counts.
+        // No deadline is set, so the maximum of 3000 ms applies, and the platform adds 700 ms.
         assert_eq!(document.termination_grace(), Duration::from_millis(3700));
         assert_eq!(document.classes[0].name, "");
         assert_eq!(document.classes[0].deadline_ms, 0.0);
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -1,4 +1,4 @@
-//! The settings: how they are read from their serialized form, and which of them are rejected with which error.
+//! Parsing of the settings document and validation of the settings.
 
 mod documents;
 mod programs;
--- a/tests/settings/programs.rs
+++ b/tests/settings/programs.rs
@@ -1,4 +1,4 @@
-//! The settings as the two programs read them.
+//! Settings as read by the gateway program and the simulator adapter.
 
 use crate::samples::{
     COMPLETE_SETTINGS, REQUIRED_SETTINGS, deployment_file, parse, simulator_message,
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the simulator adapter with these settings in the first message of an instance.
+/// Runs the simulator adapter with the settings in the first message of an instance.
 fn run_adapter(settings: &Value) -> Output {
     let lines = [
         r#"{"kind":"BeginBatch","Clock":1.0,"n":1}"#.to_string(),
@@ -30,7 +30,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// Runs the gateway with a configuration file that it must refuse.
+/// Runs the gateway with a configuration file that it must reject.
 fn run_gateway(name: &str, settings: &Value) -> Output {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("settings-{name}.json"));
     fs::write(&path, deployment_file(settings)).expect("the file can be written");
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn both_programs_report_a_fault_in_the_same_words() {
-    let faults: [(&str, &str, Value, &str); 4] = [
+fn both_programs_report_the_same_error_message() {
+    let invalid_settings: [(&str, &str, Value, &str); 4] = [
         (
             "gateways",
             "/Balancers",
@@ -79,7 +79,7 @@
             "settings: general: warmup_ms is -4.5",
         ),
     ];
-    for (name, pointer, value, message) in faults {
+    for (name, pointer, value, message) in invalid_settings {
         let mut settings = parse(COMPLETE_SETTINGS);
         *settings
             .pointer_mut(pointer)
--- a/tests/settings/samples.rs
+++ b/tests/settings/samples.rs
@@ -1,4 +1,4 @@
-//! Serialized settings in both of their forms, and the values that they stand for.
+//! Sample settings in both serialized forms and the values that they must produce.
 
 use marlshelf::{
     DeduplicationScope, GatewayId, Idempotency, Milliseconds, Plan, RequestClass, Settings,
@@ -6,8 +6,7 @@
 };
 use serde_json::{Value, json};
 
-/// Settings with every key that the users' pages name, each with a value of its own, and with unknown keys at every
-/// level.
+/// Settings with every documented key, each with a distinct value, and with unknown keys at every level.
 pub const COMPLETE_SETTINGS: &str = r#"{
     "Areas": ["north", "south", "west"],
     "Balancers": 7,
@@ -67,18 +66,18 @@
     "Classes": [{"Target": 500.0, "Effect": "by_key", "Window": 2000.0}]
 }"#;
 
-/// The JSON value of a sample.
+/// Parses a sample as JSON.
 pub fn parse(text: &str) -> Value {
     serde_json::from_str(text).expect("the sample is JSON")
 }
 
-/// The first message of the simulator to an instance, on its one line.
+/// Returns the first message of the simulator to an instance, as one line.
 pub fn simulator_message(settings: &Value) -> String {
     json!({"kind": "Hello", "GatekeeperId": "gatekeeper_0", "Prng": 7, "Conf": settings})
         .to_string()
 }
 
-/// The file that the deployment writes for a gateway.
+/// Returns the configuration file that the deployment writes for a gateway.
 pub fn deployment_file(settings: &Value) -> String {
     let file = json!({
         "name": "n3",
@@ -94,13 +93,13 @@
     serde_json::to_string_pretty(&file).expect("the file is JSON")
 }
 
-/// Reads the settings out of a message or file, where they have this key.
+/// Parses the settings document stored under `key` in a message or file.
 fn document_at(key: &str, text: &str) -> SettingsDocument {
     let settings = parse(text)[key].to_string();
     serde_json::from_str(&settings).expect("the settings can be read")
 }
 
-/// The settings as read from both forms.
+/// Parses the settings from the simulator's message and from the deployment's file.
 pub fn both_documents(settings: &str) -> [SettingsDocument; 2] {
     let settings = parse(settings);
     [
@@ -109,7 +108,7 @@
     ]
 }
 
-/// A request class, its fields in the order of their declaration.
+/// A request class, with arguments in the order of its fields.
 pub fn class(
     priority_weight: f64,
     latency_objective_ms: f64,
@@ -126,7 +125,7 @@
     }
 }
 
-/// What [`COMPLETE_SETTINGS`] must be read as.
+/// The expected result of parsing [`COMPLETE_SETTINGS`].
 pub fn complete_settings() -> Settings {
     Settings {
         gateway: GatewayId(6),
--- a/tests/settings/validation.rs
+++ b/tests/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Which settings are rejected, and with which error.
+//! Validation of settings and its error messages.
 
 use crate::samples::{COMPLETE_SETTINGS, complete_settings, parse};
 use marlshelf::{
@@ -7,10 +7,9 @@
 };
 use serde_json::json;
 
-/// A change of valid settings.
 type SettingsChange = fn(&mut Settings);
 
-/// A number in the settings, with the names that an error must give it.
+/// A numeric setting and the names that errors must use for it.
 struct NumericSetting {
     section: SettingsSection,
     field: SettingsField,
@@ -27,8 +26,8 @@
     SettingsSection::Plan(PlanIndex(index))
 }
 
-/// A setting by its section, its field, its name in messages, its key in the document, its path in [`Settings`] and its
-/// unit, if any.
+/// Arguments: section, field, name in messages, key in the document, list entry and field in [`Settings`],
+/// and unit if any.
 macro_rules! numeric_setting {
     ($section:expr, $field:ident, $name:literal, $key:literal, $(($list:ident[$index:literal]),)? $member:ident $(as $unit:ident)?) => {
         NumericSetting {
@@ -163,7 +162,7 @@
 ];
 
 #[test]
-fn numbers_that_are_negative_or_not_finite_are_reported_where_they_are() {
+fn negative_or_non_finite_numbers_are_reported_with_their_location() {
     for setting in NUMERIC_SETTINGS {
         for invalid in [
             -1.5,
@@ -181,7 +180,7 @@
                 value,
             } = &error
             else {
-                panic!("{} of {invalid}: {error}", setting.name);
+                panic!("{} = {invalid}: {error}", setting.name);
             };
             assert_eq!(
                 (*section, field.name(), field.document_key()),
@@ -198,9 +197,9 @@
     }
 }
 
-/// Each key that an error names is the one under which the document has the number.
+/// An error must name the key under which the document holds the number.
 #[test]
-fn errors_name_the_key_of_the_document() {
+fn errors_name_the_document_key() {
     for setting in NUMERIC_SETTINGS {
         let mut settings = parse(COMPLETE_SETTINGS);
         let section = match setting.section {
@@ -224,11 +223,11 @@
 }
 
 #[test]
-fn numbers_of_zero_are_accepted_unless_something_depends_on_them() {
-    let refused = ["latency_objective_ms", "burst"];
+fn zero_is_accepted_unless_a_positive_value_is_required() {
+    let must_be_positive = ["latency_objective_ms", "burst"];
     for setting in NUMERIC_SETTINGS
         .iter()
-        .filter(|setting| !refused.contains(&setting.name))
+        .filter(|setting| !must_be_positive.contains(&setting.name))
     {
         for zero in [0.0, -0.0] {
             let mut settings = complete_settings();
@@ -238,47 +237,47 @@
     }
 }
 
-struct Fault {
-    what: &'static str,
-    introduce: SettingsChange,
+struct InvalidSettings {
+    description: &'static str,
+    change_settings: SettingsChange,
     error: SettingsError,
 }
 
-const STRUCTURAL_FAULTS: [Fault; 6] = [
-    Fault {
-        what: "no classes",
-        introduce: |settings| settings.classes.clear(),
+const STRUCTURAL_ERRORS: [InvalidSettings; 6] = [
+    InvalidSettings {
+        description: "no classes",
+        change_settings: |settings| settings.classes.clear(),
         error: SettingsError::NoClasses,
     },
-    Fault {
-        what: "no gateways",
-        introduce: |settings| settings.gateway_count = 0,
+    InvalidSettings {
+        description: "no gateways",
+        change_settings: |settings| settings.gateway_count = 0,
         error: SettingsError::NoGateways,
     },
-    Fault {
-        what: "no latency objective",
-        introduce: |settings| settings.classes[1].latency_objective = Milliseconds(0.0),
+    InvalidSettings {
+        description: "no latency objective",
+        change_settings: |settings| settings.classes[1].latency_objective = Milliseconds(0.0),
         error: SettingsError::NoLatencyObjective {
             class: ClassIndex(1),
         },
     },
-    Fault {
-        what: "a latency objective of negative zero",
-        introduce: |settings| settings.classes[4].latency_objective = Milliseconds(-0.0),
+    InvalidSettings {
+        description: "a latency objective of negative zero",
+        change_settings: |settings| settings.classes[4].latency_objective = Milliseconds(-0.0),
         error: SettingsError::NoLatencyObjective {
             class: ClassIndex(4),
         },
     },
-    Fault {
-        what: "a keyed class without a window",
-        introduce: |settings| settings.classes[3].deduplication_window = Milliseconds(0.0),
+    InvalidSettings {
+        description: "a keyed class without a window",
+        change_settings: |settings| settings.classes[3].deduplication_window = Milliseconds(0.0),
         error: SettingsError::NoDeduplicationWindow {
             class: ClassIndex(3),
         },
     },
-    Fault {
-        what: "a rate without a burst",
-        introduce: |settings| settings.plans[1].burst = Tokens(0.0),
+    InvalidSettings {
+        description: "a rate without a burst",
+        change_settings: |settings| settings.plans[1].burst = Tokens(0.0),
         error: SettingsError::RateWithoutBurst {
             plan: PlanIndex(1),
             refill_rate: TokensPerSecond(6.5),
@@ -287,25 +286,29 @@
 ];
 
 #[test]
-fn structural_faults_are_reported_where_they_are() {
-    for fault in STRUCTURAL_FAULTS {
+fn structural_errors_are_reported_with_their_location() {
+    for case in STRUCTURAL_ERRORS {
         let mut settings = complete_settings();
-        (fault.introduce)(&mut settings);
-        let text = fault.error.to_string();
-        assert!(text.starts_with("settings: "), "{}: {text}", fault.what);
+        (case.change_settings)(&mut settings);
+        let text = case.error.to_string();
+        assert!(
+            text.starts_with("settings: "),
+            "{}: {text}",
+            case.description
+        );
         assert_eq!(
             settings.validate(),
-            Err(fault.error.clone()),
+            Err(case.error.clone()),
             "{}",
-            fault.what
+            case.description
         );
-        let refusal = DecisionEngine::new(settings, 1).err();
-        assert_eq!(refusal, Some(fault.error), "{}", fault.what);
+        let engine_error = DecisionEngine::new(settings, 1).err();
+        assert_eq!(engine_error, Some(case.error), "{}", case.description);
     }
 }
 
 #[test]
-fn settings_without_a_stated_limit_are_accepted() {
+fn unset_limits_are_accepted() {
     let accepted: [(&str, SettingsChange); 8] = [
         ("no plans", |settings| settings.plans.clear()),
         ("no rate and no burst", |settings| {
@@ -318,32 +321,32 @@
         ("no window of a non-idempotent class", |settings| {
             settings.classes[1].deduplication_window = Milliseconds(0.0);
         }),
-        ("no limit of attempts", |settings| {
+        ("no limit on attempts", |settings| {
             settings.max_attempts = 0;
         }),
         ("a gateway beyond the fleet", |settings| {
             settings.gateway = GatewayId(99);
         }),
-        ("a negative greatest cost", |settings| {
+        ("a negative maximum cost", |settings| {
             settings.max_request_cost = Tokens(-1.0);
         }),
-        ("a greatest cost that is not a number", |settings| {
+        ("a maximum cost that is NaN", |settings| {
             settings.max_request_cost = Tokens(f64::NAN);
         }),
     ];
-    for (what, change) in accepted {
+    for (description, change) in accepted {
         let mut settings = complete_settings();
         change(&mut settings);
-        assert_eq!(settings.validate(), Ok(()), "{what}");
+        assert_eq!(settings.validate(), Ok(()), "{description}");
     }
 }
 
 #[test]
-fn the_greatest_cost_has_a_default() {
+fn max_request_cost_has_a_default() {
     let mut settings = complete_settings();
     assert_eq!(settings.largest_request_cost(), Tokens(9.0));
-    for unstated in [0.0, -1.0, f64::NAN] {
-        settings.max_request_cost = Tokens(unstated);
+    for unset in [0.0, -1.0, f64::NAN] {
+        settings.max_request_cost = Tokens(unset);
         assert_eq!(settings.largest_request_cost(), Tokens(1e6));
     }
 }
