--- a/src/decisions/gossip/codec.rs
+++ b/src/decisions/gossip/codec.rs
@@ -1,5 +1,5 @@
-//! Text encoding of gossip messages. Decimal numbers have one digit after the point, except durations, which
-//! are whole milliseconds; tenant keys and request ids are hexadecimal.
+//! Text encoding of gossip messages. Token amounts and rates have one decimal place, and durations are whole
+//! milliseconds. Tenant keys and request ids are hexadecimal.
 
 use super::{
     GossipMessage, OwnerState, QuotaDecision, QuotaRequest, QuotaRequestId, QuotaResponse,
--- a/src/decisions/gossip/outbox.rs
+++ b/src/decisions/gossip/outbox.rs
@@ -20,7 +20,7 @@
 const BURST_SECONDS: f64 = 0.1;
 /// Maximum length of a datagram. Peers drop longer ones.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Minimum delay of the timer. A pending timer is only moved forward if that gains more than this.
+/// Minimum delay of the timer. An earlier timer is set only if it gains more than this.
 const TIMER_RESOLUTION: Milliseconds = Milliseconds(1.0);
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
--- a/src/decisions/quota/client/prefetch.rs
+++ b/src/decisions/quota/client/prefetch.rs
@@ -2,8 +2,8 @@
 
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 
-/// Tokens are leased in advance for the demand of this duration, and are returned when they are older. If
-/// gateways kept them longer, the tokens held by all gateways could add up to more than a hard limit.
+/// Tokens are leased in advance for the demand of this duration. Unused tokens that are older are returned to
+/// the owner: if gateways kept them, the tokens held by all gateways could add up to more than a hard limit.
 const PREFETCH_HORIZON: Milliseconds = Milliseconds(400.0);
 /// Minimum time between prefetch requests, which gives the owner time to respond.
 const PREFETCH_MIN_INTERVAL: Milliseconds = Milliseconds(100.0);
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -105,8 +105,8 @@
     }
 
     /// Decides whether to forward a request whose owner has not responded; `draw` is a random number between
-    /// 0 and 1. If the request is forwarded, its cost is recorded and reported to the owner once gossip gets
-    /// through again.
+    /// 0 and 1. If the request is forwarded, its cost, scaled by the over-quota penalty, is recorded and is
+    /// reported to the owner once gossip gets through again.
     pub(crate) fn admit_unconfirmed(&mut self, received: &ReceivedRequest, draw: f64) -> bool {
         let (account, request) = (received.account, &received.request);
         let plan = self.settings.plan(account.plan);
--- a/src/decisions/quota/owner/permit_pool.rs
+++ b/src/decisions/quota/owner/permit_pool.rs
@@ -1,11 +1,11 @@
-//! Leased concurrency permits. A permit returns when it is released, or when its lease ends without a
+//! Leased concurrency permits. A permit becomes free when it is released or when its lease expires without a
 //! renewal.
 
 use crate::decisions::gossip::PermitId;
 use crate::units::{Milliseconds, Timestamp};
 use std::collections::VecDeque;
 
-/// The leased permits of one tenant, in the order of their last renewal, the earliest first.
+/// Leased permits of one tenant, ordered by their last renewal, oldest first.
 #[derive(Default)]
 pub(super) struct PermitPool {
     leases: VecDeque<Lease>,
@@ -17,12 +17,10 @@
 }
 
 impl PermitPool {
-    /// The number of leased permits.
     pub(super) fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Leases a permit.
     pub(super) fn lease(&mut self, permit: PermitId, now: Timestamp) {
         self.leases.push_back(Lease {
             permit,
@@ -30,12 +28,13 @@
         });
     }
 
-    /// Takes a permit back, if it is leased.
+    /// Releases a permit. Does nothing if the permit is not leased.
     pub(super) fn release(&mut self, permit: PermitId) {
         self.leases.retain(|lease| lease.permit != permit);
     }
 
-    /// Renews a lease. A permit whose lease has ended is leased again, unless `capacity` permits are leased.
+    /// Renews a lease. A permit whose lease has already expired is leased again, unless `capacity` permits
+    /// are leased.
     pub(super) fn renew(&mut self, permit: PermitId, capacity: usize, now: Timestamp) {
         self.release(permit);
         if self.leases.len() < capacity {
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Takes back the permits that were last renewed longer than `lease` ago.
+    /// Drops the leases that were last renewed more than `lease` ago.
     pub(super) fn expire(&mut self, lease: Milliseconds, now: Timestamp) {
         while self
             .leases
