--- a/src/decisions/gossip/messages.rs
+++ b/src/decisions/gossip/messages.rs
@@ -103,7 +103,7 @@
 /// A message about the account of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum GossipMessage {
-    /// To the owner: asks for tokens or a permit.
+    /// To the owner: requests tokens or a permit.
     RequestQuota {
         plan: PlanIndex,
         request: QuotaRequest,
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -104,11 +104,12 @@
             LeaseDecision::DecideAsOwner(lease) => self.decide_own_request(received, lease),
             LeaseDecision::UsePrefetched { replenish } => {
                 self.quotas
-                    .ask_owner(&received, replenish, &mut self.context);
+                    .send_quota_request(&received, replenish, &mut self.context);
                 self.admit(received, QuotaGrant::Prefetched);
             }
-            LeaseDecision::AskOwner { lease, expired } => {
-                self.quotas.ask_owner(&received, lease, &mut self.context);
+            LeaseDecision::QueryOwner { lease, expired } => {
+                self.quotas
+                    .send_quota_request(&received, lease, &mut self.context);
                 self.settle(Settlement::for_tokens(received.account, -expired));
                 let gossip_enabled = self.settings.gossip_enabled;
                 let pending = PendingRequest::awaiting_owner(received, gossip_enabled);
@@ -136,7 +137,8 @@
         };
         let received = &pending.received;
         if self.settings.gossip_enabled && pending.state == WaitState::AwaitingOwner {
-            self.quotas.ask_owner_again(received, &mut self.context);
+            self.quotas
+                .resend_quota_request(received, &mut self.context);
             let pending = pending.awaiting_owner_again();
             return self.requests.wait(pending, &mut self.context);
         }
--- a/src/decisions/quota/client/mod.rs
+++ b/src/decisions/quota/client/mod.rs
@@ -1,7 +1,7 @@
 //! Client state of a tenant's quota.
 //!
-//! The client decides which requests ask the owner, leases tokens in advance, and uses a fallback quota while
-//! the owner does not respond.
+//! The client decides which requests query the owner, leases tokens in advance, and uses a fallback quota
+//! while the owner does not respond.
 
 mod fallback_quota;
 mod local_permits;
@@ -28,7 +28,7 @@
 /// How a request obtains its tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum LeaseDecision {
-    /// Reject the request without asking the owner, because demand far exceeds what the owner can grant.
+    /// Reject the request without querying the owner, because demand far exceeds what the owner can grant.
     Reject,
     /// This gateway owns the quota and decides by itself.
     DecideAsOwner(LeaseRequest),
@@ -38,7 +38,7 @@
         replenish: Option<LeaseRequest>,
     },
     /// Wait for the owner's response.
-    AskOwner {
+    QueryOwner {
         /// The lease to request; `None` if gossip is disabled.
         lease: Option<LeaseRequest>,
         /// Prefetched tokens that have expired and must be returned to the owner.
@@ -78,7 +78,7 @@
 }
 
 impl QuotaClient {
-    /// Creates the client state of an unused quota. `poll_credit` is the initial credit for asking the owner.
+    /// Creates the client state of an unused quota. `poll_credit` is the initial [`PollCredit`].
     pub(super) fn new(plan: &Plan, poll_credit: f64, now: Timestamp) -> QuotaClient {
         QuotaClient {
             permits: LocalPermits::default(),
@@ -114,7 +114,7 @@
         if !self.poll_credit.try_poll(poll_probability, exempt) {
             return LeaseDecision::Reject;
         }
-        // Scaled up to include the requests that were rejected without asking the owner.
+        // Scaled up to include the requests that were rejected without querying the owner.
         self.unreported_demand += cost / poll_probability;
         let expired = self.prefetched.take_expired(now);
         if owner_is_local {
@@ -130,7 +130,7 @@
             return LeaseDecision::UsePrefetched { replenish };
         }
         let lease = gossip_enabled.then(|| self.lease_request(cost, needs_permit, now));
-        LeaseDecision::AskOwner { lease, expired }
+        LeaseDecision::QueryOwner { lease, expired }
     }
 
     /// Builds a lease for the cost of a request. A prefetch is added unless the request needs a shared
--- a/src/decisions/quota/client/polling.rs
+++ b/src/decisions/quota/client/polling.rs
@@ -1,4 +1,4 @@
-//! Limits how often a gateway asks the owner of an overloaded quota.
+//! Limits how often a gateway polls (sends quota requests to) the owner of an overloaded quota.
 //!
 //! This is adaptive throttling ("Handling Overload" in the SRE book), with the reported demand and grants in
 //! place of requests and accepts: requests that the owner would probably deny are rejected locally.
@@ -6,15 +6,15 @@
 use crate::settings::Plan;
 use crate::units::{Milliseconds, Tokens, TokensPerSecond};
 
-/// The owner is asked for at most this multiple of what it granted or can sustain. Requests beyond that are
-/// rejected locally.
+/// Demand is forwarded to the owner up to this multiple of the rate that the owner granted or can sustain.
+/// Requests beyond that are rejected locally.
 const POLL_HEADROOM: f64 = 1.5;
 /// Lower bound of the expected time for which a request holds a permit.
 const MIN_PERMIT_DURATION: Milliseconds = Milliseconds(1.0);
 
-/// Returns the probability with which a request asks the owner, given the rates that the owner reported. The
-/// sustainable rate is always asked for. Otherwise grants would keep shrinking, because the owner only grants
-/// what it is asked for.
+/// Returns the probability with which a request polls the owner, given the rates that the owner reported.
+/// Polls are never limited to less than the sustainable rate. Otherwise grants would keep shrinking, because
+/// they cannot exceed the demand that reaches the owner.
 pub(super) fn poll_probability(
     demand: TokensPerSecond,
     granted: TokensPerSecond,
@@ -46,7 +46,7 @@
 }
 
 /// Sum of the poll probabilities of recent requests, minus 1 for each poll. Limiting polls by this credit
-/// makes the fraction of requests that ask the owner follow the probability without a random draw per
+/// makes the fraction of requests that poll the owner follow the probability without a random draw per
 /// request.
 pub(super) struct PollCredit(f64);
 
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -55,7 +55,7 @@
     }
 
     /// Sends a quota request to the owner. Does nothing if `lease` is `None`.
-    pub(crate) fn ask_owner(
+    pub(crate) fn send_quota_request(
         &self,
         received: &ReceivedRequest,
         lease: Option<LeaseRequest>,
@@ -71,14 +71,18 @@
 
     /// Resends the quota request, in case the first message or its response was lost. The owner charges the
     /// request only once.
-    pub(crate) fn ask_owner_again(&self, received: &ReceivedRequest, context: &mut EventContext) {
+    pub(crate) fn resend_quota_request(
+        &self,
+        received: &ReceivedRequest,
+        context: &mut EventContext,
+    ) {
         let lease = LeaseRequest {
             cost: received.request.cost,
             prefetch: Tokens::ZERO,
             demand: Tokens::ZERO,
             needs_permit: self.shares_permits(received.account),
         };
-        self.ask_owner(received, Some(lease), context);
+        self.send_quota_request(received, Some(lease), context);
     }
 
     pub(crate) fn quota_request(
--- a/src/decisions/quota/mod.rs
+++ b/src/decisions/quota/mod.rs
@@ -33,7 +33,7 @@
 /// Time constant of the exponential decay of the measured demand. It is long enough to register tenants with
 /// few requests and short enough to follow traffic that moves to other gateways.
 const DEMAND_WINDOW: Milliseconds = Milliseconds(2000.0);
-/// Fraction of a hard limit that the gateways divide among themselves and use without asking the owner. The
+/// Fraction of a hard limit that the gateways divide among themselves and use without a lease. The
 /// owner leases the rest.
 const FALLBACK_FRACTION: f64 = 0.25;
 
--- a/src/decisions/quota/owner/ledger.rs
+++ b/src/decisions/quota/owner/ledger.rs
@@ -7,7 +7,7 @@
 use crate::token_bucket::{BucketLimits, TokenBucket};
 use crate::units::{Timestamp, Tokens, TokensPerSecond};
 
-/// Fraction of the hard limit's rate that the owner leases. The gateways use the rest without asking.
+/// Fraction of the hard limit's rate that the owner leases. The gateways use the rest without a lease.
 const LEASED_RATE_FRACTION: f64 = 1.0 - FALLBACK_FRACTION;
 /// Fraction of the hard limit's burst that the owner may lease at once. It is smaller than the fraction of
 /// the rate, because tokens leased earlier may still be unused at the gateways.
--- a/src/decisions/quota/tenants.rs
+++ b/src/decisions/quota/tenants.rs
@@ -65,7 +65,8 @@
     }
 
     /// Returns the tenant of an account, creating it if needed, and marks it as active. New tenants start
-    /// with a random poll credit, so that the gateways of a shard do not all ask the owner at the same time.
+    /// with a random poll credit, so that the gateways of a shard do not all query the owner at the same
+    /// time.
     pub(super) fn touch(
         &mut self,
         account: AccountId,
