--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -99,17 +99,18 @@
         };
         let id = self.requests.next_id();
         let received = ReceivedRequest::new(request, tier, id, &self.settings, self.context.now);
-        match self.quotas.request(&received, &mut self.context) {
+        match self.quotas.on_request(&received, &mut self.context) {
             LeaseDecision::Reject => self.reject(&received.request),
             LeaseDecision::DecideAsOwner(lease) => self.decide_own_request(received, lease),
             LeaseDecision::UsePrefetched { replenish } => {
                 self.quotas
-                    .ask_owner(&received, replenish, &mut self.context);
+                    .send_quota_request(&received, replenish, &mut self.context);
                 self.admit(received, QuotaGrant::Prefetched);
             }
-            LeaseDecision::AskOwner { lease, expired } => {
-                self.quotas.ask_owner(&received, lease, &mut self.context);
-                self.settle(Settlement::of_tokens(received.account, -expired));
+            LeaseDecision::QueryOwner { lease, expired } => {
+                self.quotas
+                    .send_quota_request(&received, lease, &mut self.context);
+                self.settle(Settlement::for_tokens(received.account, -expired));
                 let gossip_enabled = self.settings.gossip_enabled;
                 let pending = PendingRequest::awaiting_owner(received, gossip_enabled);
                 self.requests.insert_pending(pending, &mut self.context);
@@ -137,7 +138,8 @@
         };
         let received = &pending.received;
         if self.settings.gossip_enabled && pending.state == WaitState::AwaitingOwner {
-            self.quotas.ask_owner_again(received, &mut self.context);
+            self.quotas
+                .resend_quota_request(received, &mut self.context);
             let pending = pending.awaiting_owner_again();
             return self.requests.insert_pending(pending, &mut self.context);
         }
@@ -233,7 +235,7 @@
         let difference = outcome
             .actual_cost
             .map_or(Tokens::ZERO, |actual| actual - cost);
-        self.settle(Settlement::of_tokens(account, difference));
+        self.settle(Settlement::for_tokens(account, difference));
         let Some(request) = self.requests.in_flight_mut(id) else {
             return;
         };
@@ -282,11 +284,11 @@
     /// message exchange.
     fn transfer_permit(&mut self, account: AccountId, permit: QuotaRequestId) {
         let Some(next) = self.requests.remove_oldest(account.tenant) else {
-            return self.settle(Settlement::of_permit(account, permit));
+            return self.settle(Settlement::for_permit(account, permit));
         };
         let received = next.received;
         let cost = received.request.cost;
-        self.settle(Settlement::of_tokens(received.account, cost));
+        self.settle(Settlement::for_tokens(received.account, cost));
         self.admit(received, QuotaGrant::InheritedPermit(permit));
     }
 }
