--- a/tests/process/client_disconnects_in_pipeline.rs
+++ b/tests/process/client_disconnects_in_pipeline.rs
@@ -55,8 +55,7 @@
         client,
     } = WaitingClient::send(request_and_full_pipeline());
     let mut other_client = fleet.gateway.connect();
-    reset_on_close(&client);
-    drop(client);
+    Disconnect::Reset.apply(&fleet.gateway, &mut [client]);
     // Once the gateway answers this, it has processed all earlier events.
     other_client.expect_pong();
     expect_released_permit_goes_to_next_client(&fleet.endpoint, &fleet.gateway, in_flight);
--- a/tests/process/support/disconnects.rs
+++ b/tests/process/support/disconnects.rs
@@ -50,7 +50,7 @@
 }
 
 /// Makes the kernel send RST instead of FIN when the connection is closed.
-pub fn reset_on_close(client: &Connection) {
+fn reset_on_close(client: &Connection) {
     socket2::SockRef::from(client.stream.get_ref())
         .set_linger(Some(Duration::ZERO))
         .expect("the connection is open");
