--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -40,8 +40,8 @@
 //! | a client with a full pipeline disconnects, unseen | `ConnectionTask::serve` | `a_command_behind_a_full_pipeline_is_not_started_after_an_unseen_disconnect` |
 //! | a client disconnects while its input is not read because its pipeline is full | `ConnectionTask::wait` | `a_disconnect_behind_a_full_pipeline_is_noticed_while_no_input_is_read` |
 //! | a client disconnects right after malformed input | `ConnectionTask::reject` | `half_close_behind_malformed_input_drops_the_waiting_request` |
-//! | a client disconnects while a batch of its commands is being started | `ConnectionTask::start_commands` | `the_rest_of_a_batch_of_commands_is_not_started_after_an_unseen_disconnect` |
-//! | a request arrives together with the disconnect | `ConnectionTask::start_request` | `request_that_arrives_together_with_the_disconnect_is_not_forwarded`, `ping_that_arrives_together_with_a_half_close_is_answered` |
+//! | a client disconnects while a batch of its commands is being started | `ConnectionTask::dispatch_commands` | `the_rest_of_a_batch_of_commands_is_not_started_after_an_unseen_disconnect` |
+//! | a request arrives together with the disconnect | `ConnectionTask::dispatch_request` | `request_that_arrives_together_with_the_disconnect_is_not_forwarded`, `ping_that_arrives_together_with_a_half_close_is_answered` |
 //! | a request arrives, unseen, on a connection that is about to be closed | `ClientConnection::next_step` | `command_that_arrived_before_its_connection_is_closed_is_answered` |
 //! | shutdown begins when a command has been received in part | `ConnectionState::next_step` | `partial_command_at_shutdown_is_completed_and_answered` |
 //! | a command arrives just as the request timeout expires | `ConnectionState::command_received`, `ClientConnection::next_step` | `command_that_arrived_before_the_request_timeout_is_answered` |
@@ -54,7 +54,7 @@
 //! | an endpoint begins to drain while a connection to it opens | `Forwarder::send_command` | `request_goes_elsewhere_if_its_endpoint_starts_draining_while_connecting` |
 //! | an abandoned attempt is answered | `RunningAttempt::close_connection` | `late_answer_never_reaches_the_next_request` |
 //! | surplus bytes of a response arrive on a connection that is about to be reused | `IdleConnections::take_newest` | `connection_is_not_reused_before_its_reuse_delay_has_passed` |
-//! | a request's deadline is later than SIGKILL | `ServicePhase::limit` | `request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit` |
+//! | a request's deadline is later than SIGKILL | `ServicePhase::cap_deadline` | `request_that_would_outlast_the_shutdown_timeout_is_answered_before_the_exit` |
 //! | an endpoint takes over the address of another that discovery has not removed yet | `EndpointRegistry::apply` | `new_endpoint_at_a_reused_address_gets_no_connection_of_its_predecessor` |
 //! | an endpoint is reported as removed without its other fields | `EndpointUpdate::from_json` | `removed_endpoint_may_be_listed_without_its_other_fields` |
 //! | a watch falls silent or never completes a line, and the calls after it hang | `Watcher::watch` | `a_silent_watch_leaves_time_for_two_calls_that_hang`, `pieces_of_a_line_without_an_end_do_not_keep_a_watch_alive` |
