--- a/src/decisions/context.rs
+++ b/src/decisions/context.rs
@@ -32,7 +32,7 @@
 
 /// The time of an event and the mean endpoint latency at that time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Conditions {
+pub(crate) struct EventSnapshot {
     pub now: Timestamp,
     pub mean_latency: Milliseconds,
 }
@@ -61,8 +61,8 @@
     }
 
     /// Returns a copy of the time and the mean latency, for calls that must not borrow the whole context.
-    pub(crate) fn conditions(&self) -> Conditions {
-        Conditions {
+    pub(crate) fn snapshot(&self) -> EventSnapshot {
+        EventSnapshot {
             now: self.now,
             mean_latency: self.mean_latency,
         }
--- a/src/decisions/quota/client/mod.rs
+++ b/src/decisions/quota/client/mod.rs
@@ -9,7 +9,7 @@
 mod prefetch;
 mod unconfirmed_usage;
 
-use super::{AccountId, BucketSnapshot, Conditions, DEMAND_WINDOW, shard_size};
+use super::{AccountId, BucketSnapshot, DEMAND_WINDOW, EventSnapshot, shard_size};
 use crate::decisions::gossip::OwnerState;
 use crate::events::Request;
 use crate::settings::{Plan, Settings};
@@ -97,14 +97,14 @@
         account: AccountId,
         request: &Request,
         settings: &Settings,
-        conditions: Conditions,
+        snapshot: EventSnapshot,
     ) -> LeaseDecision {
-        let (plan, now) = (settings.plan(account.plan), conditions.now);
+        let (plan, now) = (settings.plan(account.plan), snapshot.now);
         let (cost, gossip_enabled) = (request.cost, settings.gossip_enabled);
         let shard_size = shard_size(request, settings.gateway_count);
         self.fallback.refill(plan, shard_size, gossip_enabled, now);
         let needs_permit = self.permits.update_limit(plan.max_concurrency, shard_size);
-        let sustainable = sustainable_rate(plan, cost, needs_permit, conditions.mean_latency);
+        let sustainable = sustainable_rate(plan, cost, needs_permit, snapshot.mean_latency);
         let (demand, granted) = self.reported_rates(now);
         let poll_probability = poll_probability(demand, granted, sustainable, cost);
         self.demand.add_event(cost.as_f64(), now, DEMAND_WINDOW);
--- a/src/decisions/quota/client_side.rs
+++ b/src/decisions/quota/client_side.rs
@@ -48,10 +48,10 @@
     ) -> LeaseDecision {
         let (account, request) = (received.account, &received.request);
         let tenant = self.tenants.touch(account, &self.settings, context);
-        let conditions = context.conditions();
+        let snapshot = context.snapshot();
         tenant
             .client
-            .on_request(account, request, &self.settings, conditions)
+            .on_request(account, request, &self.settings, snapshot)
     }
 
     /// Sends a quota request to the owner. Does nothing if `lease` is `None`.
--- a/src/decisions/quota/mod.rs
+++ b/src/decisions/quota/mod.rs
@@ -15,7 +15,7 @@
 mod tenants;
 
 use crate::decisions::account::{AccountId, shard_size};
-use crate::decisions::context::Conditions;
+use crate::decisions::context::EventSnapshot;
 use crate::settings::Settings;
 use crate::units::{Milliseconds, Timestamp};
 use client::{QuotaClient, UnconfirmedUsage};
--- a/src/decisions/quota/owner/mod.rs
+++ b/src/decisions/quota/owner/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::decisions::fleet_scale::fleet_scale;
 use crate::decisions::gossip::{OwnerState, PermitId, QuotaDecision, QuotaRequest};
-use crate::decisions::quota::Conditions;
+use crate::decisions::quota::EventSnapshot;
 use crate::settings::{Plan, Settings};
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 use bounded_history::BoundedHistory;
@@ -85,7 +85,7 @@
         plan: &Plan,
         reserve: Tokens,
         gossip_enabled: bool,
-        conditions: Conditions,
+        snapshot: EventSnapshot,
     ) -> QuotaDecision {
         // A retransmission after a lost response: the request has already been charged or queued.
         if self.recent_grants.contains(&request.permit_id()) {
@@ -106,12 +106,12 @@
         }
         let permit_available = self.queue.is_empty() && self.has_free_permit(plan);
         if request.needs_permit && !permit_available {
-            return self.enqueue(request, plan, conditions);
+            return self.enqueue(request, plan, snapshot);
         }
         let remaining = self.ledger.tokens().min(leasable) - request.cost;
         let prefetch = request.prefetch.min(remaining * MAX_PREFETCH_FRACTION);
         let cost = request.cost + prefetch.max(Tokens::ZERO);
-        self.grant(&request, cost, conditions.now);
+        self.grant(&request, cost, snapshot.now);
         QuotaDecision::Granted { cost }
     }
 
@@ -120,12 +120,12 @@
         &mut self,
         request: QuotaRequest,
         plan: &Plan,
-        conditions: Conditions,
+        snapshot: EventSnapshot,
     ) -> QuotaDecision {
         let position = self.queue.len() + 1;
         let permits = f64::from(plan.max_concurrency.max(1));
-        let expected_wait = conditions.mean_latency * position as f64 / permits;
-        if conditions.now + expected_wait > request.expires_at {
+        let expected_wait = snapshot.mean_latency * position as f64 / permits;
+        if snapshot.now + expected_wait > request.expires_at {
             return QuotaDecision::Denied;
         }
         self.queue.push_back(request);
--- a/src/decisions/quota/owner_side.rs
+++ b/src/decisions/quota/owner_side.rs
@@ -41,10 +41,10 @@
         let plan = self.settings.plan(tenant.plan);
         let reserve = bucket_reserve(&self.settings, self.settings.plan(account.plan));
         let gossip_enabled = self.settings.gossip_enabled;
-        let conditions = context.conditions();
+        let snapshot = context.snapshot();
         tenant
             .owner
-            .decide(request, plan, reserve, gossip_enabled, conditions)
+            .decide(request, plan, reserve, gossip_enabled, snapshot)
     }
 
     /// Sends a decision to the gateway that made the request, which must not be this gateway.
--- a/src/gateway/clients/schema.rs
+++ b/src/gateway/clients/schema.rs
@@ -41,7 +41,7 @@
             classes,
             plan_names: document.plans.iter().map(|p| p.name.clone()).collect(),
             gateway_count: document.gateway_count(),
-            max_cost: document.settings().largest_request_cost(),
+            max_cost: document.settings().effective_max_request_cost(),
         }
     }
 
--- a/src/gateway/endpoints/connection.rs
+++ b/src/gateway/endpoints/connection.rs
@@ -235,13 +235,13 @@
                 }
                 continue;
             };
-            let nothing_follows = length == buffer.len();
+            let no_surplus_bytes = length == buffer.len();
             handler.handle_endpoint_event(EndpointEvent::ResponseReceived {
                 connection: self,
                 response: EndpointResponse::from_reply(reply, &buffer),
-                nothing_follows,
+                no_surplus_bytes,
             });
-            if !nothing_follows {
+            if !no_surplus_bytes {
                 return Ok(());
             }
             self.reset_buffer(&mut buffer);
--- a/src/gateway/endpoints/mod.rs
+++ b/src/gateway/endpoints/mod.rs
@@ -45,7 +45,7 @@
         connection: &'a Rc<EndpointConnection>,
         response: EndpointResponse<'a>,
         /// Whether the response was followed by no further bytes. Otherwise the connection cannot be reused.
-        nothing_follows: bool,
+        no_surplus_bytes: bool,
     },
     /// Writing the rest of a command failed while the connection still carried its attempt.
     WriteFailed { request: RequestId },
--- a/src/gateway/event_loop/forwarder.rs
+++ b/src/gateway/event_loop/forwarder.rs
@@ -22,7 +22,7 @@
     pub endpoints: EndpointPool,
     malformed_responses: MalformedResponses,
     /// The highest cost that the settings allow for a request. A higher reported cost is ignored.
-    largest_request_cost: Tokens,
+    effective_max_request_cost: Tokens,
 }
 
 /// Resource limits of a [`Forwarder`].
@@ -70,7 +70,7 @@
             ),
             endpoints: EndpointPool::new(&pool_limits, handler),
             malformed_responses: MalformedResponses::default(),
-            largest_request_cost: settings.largest_request_cost(),
+            effective_max_request_cost: settings.effective_max_request_cost(),
         }
     }
 
@@ -140,14 +140,14 @@
         &mut self,
         connection: &Rc<EndpointConnection>,
         response: &EndpointResponse<'_>,
-        nothing_follows: bool,
+        no_surplus_bytes: bool,
     ) -> Option<AttemptOutcome> {
         let assignment = connection.unassign();
         let id = assignment.request()?;
         // The connection cannot be reused if the response arrived before the command was written completely,
         // or if it is an error that endpoints are not known to send. Bytes that belong to no request may
         // follow such a response.
-        let is_reusable = nothing_follows
+        let is_reusable = no_surplus_bytes
             && matches!(assignment, Assignment::AwaitingResponse { .. })
             && !matches!(response, EndpointResponse::UnknownError);
         if is_reusable {
@@ -155,7 +155,7 @@
         } else {
             connection.close();
         }
-        let outcome = ResponseOutcome::new(response, self.largest_request_cost);
+        let outcome = ResponseOutcome::new(response, self.effective_max_request_cost);
         if let EndpointResponse::Success { value, .. } = response {
             self.requests.answer(id, value);
         }
--- a/src/gateway/event_loop/socket_events.rs
+++ b/src/gateway/event_loop/socket_events.rs
@@ -51,10 +51,10 @@
             EndpointEvent::ResponseReceived {
                 connection,
                 response,
-                nothing_follows,
+                no_surplus_bytes,
             } => {
                 let forwarder = &mut event_loop.forwarder;
-                let outcome = forwarder.response_received(connection, &response, nothing_follows);
+                let outcome = forwarder.response_received(connection, &response, no_surplus_bytes);
                 event_loop.attempt_finished(outcome);
             }
             EndpointEvent::WriteFailed { request } => {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -116,7 +116,7 @@
 impl Settings {
     /// Returns [`Settings::max_request_cost`], or the default of 1,000,000 tokens if it is not set.
     #[must_use]
-    pub fn largest_request_cost(&self) -> Tokens {
+    pub fn effective_max_request_cost(&self) -> Tokens {
         if self.max_request_cost > Tokens::ZERO {
             self.max_request_cost
         } else {
--- a/tests/decisions/fleet_quotas.rs
+++ b/tests/decisions/fleet_quotas.rs
@@ -3,7 +3,7 @@
 use crate::support::quota_fleet::{
     GATEWAYS, HARD_LIMIT_PLAN, LATENCY, quota_fleet_settings, run_quota_fleet,
 };
-use crate::support::workload::{Workload, quiet_day, request_of_tenant};
+use crate::support::workload::{Workload, generate_workload, request_of_tenant};
 use marlshelf::{GatewayId, Milliseconds, Plan, PlanIndex, Settings, Timestamp, Tokens};
 use marlshelf_simulation::ledgers::{ForwardedValue, QuotaLedger, settlement};
 use marlshelf_simulation::{ClientRequest, ScheduledRequest, Shard};
@@ -93,7 +93,7 @@
 fn over_quota_cost_is_close_to_that_of_a_delayed_exact_view() {
     let settings = quota_fleet_settings();
     for seed in 1..=6 {
-        let workload = quiet_day(seed, &settings);
+        let workload = generate_workload(seed, &settings);
         let fleet = run_quota_fleet(seed, &settings, &workload);
         let value = fleet.value();
         let delayed = DelayedView::new(&settings, &workload).run();
--- a/tests/decisions/support/workload.rs
+++ b/tests/decisions/support/workload.rs
@@ -6,11 +6,11 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The end of a simulated day, which begins at time 0.
-const END_OF_DAY: Timestamp = Timestamp(40_000.0);
-/// The number of tenants on a quiet day.
+/// The end of a generated workload, which begins at time 0.
+const WORKLOAD_END: Timestamp = Timestamp(40_000.0);
+/// The number of tenants in a generated workload.
 const TENANTS: usize = 48;
-/// The mean cost of a request on a quiet day.
+/// The mean cost of a request in a generated workload.
 const MEAN_COST: Tokens = Tokens(3.0);
 /// The highest estimated cost of a request, in tokens.
 const MAX_COST: f64 = 6.0;
@@ -37,9 +37,9 @@
     }
 }
 
-/// Generates a quiet day. Most tenants use part of their quota, some nearly all of it, and one in eight three
-/// times as much.
-pub fn quiet_day(seed: u64, settings: &Settings) -> Workload {
+/// Generates a workload in which most tenants use part of their quota, some nearly all of it, and one in eight
+/// three times as much.
+pub fn generate_workload(seed: u64, settings: &Settings) -> Workload {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let plan_of = |tenant: usize| PlanIndex(tenant % settings.plans.len());
     let mut requests = Vec::new();
@@ -77,7 +77,7 @@
     let mut preferred_until = Timestamp::ZERO;
     loop {
         at += -mean_interval * (1.0 - random.random::<f64>()).ln();
-        if at >= END_OF_DAY {
+        if at >= WORKLOAD_END {
             return;
         }
         if at >= preferred_until {
--- a/tests/process/configuration.rs
+++ b/tests/process/configuration.rs
@@ -121,7 +121,7 @@
     let endpoint = StandInEndpoint::start();
     let silent_discovery = ManualDiscovery::start();
     let gateway = GatewayConfig {
-        known_list: complete_list(41, &[ready_endpoint("s-1", endpoint.address)]),
+        cached_list: complete_list(41, &[ready_endpoint("s-1", endpoint.address)]),
         ..GatewayConfig::new(silent_discovery.address)
     }
     .start();
--- a/tests/process/descriptor_limit.rs
+++ b/tests/process/descriptor_limit.rs
@@ -149,7 +149,7 @@
         port.listen();
     }
     let gateway = GatewayConfig {
-        known_list: complete_list(41, &[ready_endpoint("s-1", known_endpoint.address)]),
+        cached_list: complete_list(41, &[ready_endpoint("s-1", known_endpoint.address)]),
         socket_limit,
         shell_prefix: format!("ulimit -n {socket_limit}; exec"),
         ..GatewayConfig::new(port.address)
--- a/tests/process/endpoint_lists.rs
+++ b/tests/process/endpoint_lists.rs
@@ -101,11 +101,11 @@
 }
 
 #[test]
-fn known_list_is_used_while_discovery_does_not_answer() {
+fn cached_list_is_used_while_discovery_does_not_answer() {
     let endpoint = StandInEndpoint::start();
     let silent_discovery = ManualDiscovery::start();
     let gateway = GatewayConfig {
-        known_list: complete_list(1, &[ready_endpoint("s-1", endpoint.address)]),
+        cached_list: complete_list(1, &[ready_endpoint("s-1", endpoint.address)]),
         ..GatewayConfig::new(silent_discovery.address)
     }
     .start();
@@ -115,12 +115,12 @@
 }
 
 #[test]
-fn watch_continues_from_the_known_list_without_a_poll_of_the_complete_list() {
+fn watch_continues_from_the_cached_list_without_a_poll_of_the_complete_list() {
     let endpoint = StandInEndpoint::start();
     // If the gateway polled the complete list, which is empty, it would remove the cached endpoint.
     let discovery = StandInDiscovery::with_list(complete_list(41, &[]));
     let gateway = GatewayConfig {
-        known_list: complete_list(41, &[ready_endpoint("s-1", endpoint.address)]),
+        cached_list: complete_list(41, &[ready_endpoint("s-1", endpoint.address)]),
         ..GatewayConfig::new(discovery.address)
     }
     .start();
--- a/tests/process/readiness.rs
+++ b/tests/process/readiness.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn gateway_with_a_very_long_known_list_is_ready_and_forwards_to_its_ready_endpoint() {
+fn gateway_with_a_very_long_cached_list_is_ready_and_forwards_to_its_ready_endpoint() {
     let refusing = ReservedPort::bind();
     let endpoint = StandInEndpoint::start();
     // The list of 40,000 endpoints exceeds the maximum length of a document from discovery.
@@ -87,7 +87,7 @@
             .chain([ready_endpoint("s-here", endpoint.address)])
             .collect();
         let mut gateway = GatewayConfig {
-            known_list: complete_list(41, &listed),
+            cached_list: complete_list(41, &listed),
             ..GatewayConfig::new(refusing.address)
         }
         .spawn();
@@ -98,20 +98,20 @@
 }
 
 #[test]
-fn gateway_with_a_very_long_known_list_of_ready_endpoints_is_ready() {
+fn gateway_with_a_very_long_cached_list_of_ready_endpoints_is_ready() {
     let refusing = ReservedPort::bind();
     let listed: Vec<String> = unreachable_endpoints(65_000)
         .map(|(uid, address)| ready_endpoint(&uid, address))
         .collect();
     let config = GatewayConfig {
-        known_list: complete_list(41, &listed),
+        cached_list: complete_list(41, &listed),
         ..GatewayConfig::new(refusing.address)
     };
     expect_ready(&mut config.spawn());
 }
 
 #[test]
-fn gateway_with_a_malformed_or_contradictory_known_list_is_ready() {
+fn gateway_with_a_malformed_or_contradictory_cached_list_is_ready() {
     let refusing = ReservedPort::bind();
     let lists = [
         "7".into(),
@@ -127,9 +127,9 @@
             ],
         ),
     ];
-    let start_with = |known_list: String| {
+    let start_with = |cached_list: String| {
         GatewayConfig {
-            known_list,
+            cached_list,
             ..GatewayConfig::new(refusing.address)
         }
         .spawn()
--- a/tests/process/support/config.rs
+++ b/tests/process/support/config.rs
@@ -25,7 +25,7 @@
     pub gossip_listen: String,
     pub discovery: String,
     /// Endpoint list that the gateway uses until discovery responds, as JSON.
-    pub known_list: String,
+    pub cached_list: String,
     pub socket_limit: u32,
     pub memory_mb: u32,
     /// JSON members of the limits, except for the number of attempts.
@@ -47,7 +47,7 @@
             listen: ANY_PORT.into(),
             gossip_listen: String::new(),
             discovery: discovery.to_string(),
-            known_list: "null".into(),
+            cached_list: "null".into(),
             socket_limit: 1024,
             memory_mb: 192,
             limits: DEFAULT_LIMITS,
@@ -91,7 +91,7 @@
             self.memory_mb,
             self.socket_limit,
             self.gossip_listen,
-            self.known_list,
+            self.cached_list,
             self.settings_json(),
         )
     }
--- a/tests/settings/validation.rs
+++ b/tests/settings/validation.rs
@@ -344,9 +344,9 @@
 #[test]
 fn max_request_cost_has_a_default() {
     let mut settings = complete_settings();
-    assert_eq!(settings.largest_request_cost(), Tokens(9.0));
+    assert_eq!(settings.effective_max_request_cost(), Tokens(9.0));
     for unset in [0.0, -1.0, f64::NAN] {
         settings.max_request_cost = Tokens(unset);
-        assert_eq!(settings.largest_request_cost(), Tokens(1e6));
+        assert_eq!(settings.effective_max_request_cost(), Tokens(1e6));
     }
 }
