--- a/src/decisions/quota/tenants.rs
+++ b/src/decisions/quota/tenants.rs
@@ -10,7 +10,7 @@
 use crate::units::{Milliseconds, Timestamp, Tokens, TokensPerSecond};
 use rand::Rng;
 
-/// Tenants idle for this long are evicted. By then their buckets are full again, so no state is lost.
+/// Tenants idle for this long are evicted. By then every bucket is full again.
 const MAX_IDLE: Milliseconds = Milliseconds(60_000.0);
 /// Minimum time between two scans for idle tenants.
 const EVICTION_INTERVAL: Milliseconds = Milliseconds(6_000.0);
--- a/src/events.rs
+++ b/src/events.rs
@@ -171,7 +171,7 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// Something that the gateway observed.
+/// An observation of the gateway, which the caller reports to the engine.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// Discovery sent a list of endpoints.
--- a/src/settings/document/mod.rs
+++ b/src/settings/document/mod.rs
@@ -205,7 +205,7 @@
     #[serde(rename = "DrainGrace")]
     pub drain_grace_ms: f64,
     /// Maximum time between polls of a shared discovery service, in milliseconds. A gateway that has not
-    /// polled for longer is treated as if it knew the endpoint list as it was when this time ran out.
+    /// polled for this long is treated as if it knew the endpoint list as it was this long ago.
     #[serde(rename = "MustAskIn")]
     pub max_poll_interval_ms: f64,
 }
--- a/tests/decisions/fleet_quotas.rs
+++ b/tests/decisions/fleet_quotas.rs
@@ -100,7 +100,7 @@
         let cost = value.over_quota_cost / delayed.within_quota;
         let delayed_cost = delayed.over_quota_cost / delayed.within_quota;
 
-        // The acceptance test allows 0.1 on its own quiet days, on which clients also retry.
+        // The standing test (docs/STANDING.md) allows 0.1 on its own quiet days, on which clients also retry.
         assert!(
             cost <= delayed_cost + 0.05,
             "seed {seed}: expected a cost of at most {delayed_cost:.3} + 0.05 of the value, got {cost:.3}"
